--- a/crates/node/src/store/callbacks.rs
+++ b/crates/node/src/store/callbacks.rs
@@ -1,4 +1,5 @@
-//! Call-backs about ends: at least once each, few connections to a receiver, again after failures.
+//! Call-backs for finished messages: each is delivered at least once, with retries and few connections per
+//! receiver.
 use super::Store;
 use crate::edge::end_json;
 use net::client::Client;
@@ -13,16 +14,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections to one receiver from all stores together, and from one store at the most.
-const ALL_LANES: usize = 48;
-const LANES: usize = 6;
-const CALL: Duration = Duration::from_millis(4_000);
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_000);
-/// A receiver that says 400 so often won't take it.
-const MOST_REFUSALS: u32 = 6;
+/// Maximum connections to one receiver, from all stores together and from one store.
+const MAX_CONNECTIONS_PER_RECEIVER: usize = 48;
+const MAX_CONNECTIONS_PER_STORE: usize = 6;
+/// Timeout for one call-back.
+const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// First and longest delay after a failed call-back; the delay doubles with each failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+/// Number of responses with status 400 after which a call-back is given up.
+const MAX_REFUSALS: u32 = 6;
 
-struct Job {
+struct Callback {
     id: String,
     target: String,
     body: String,
@@ -31,8 +34,8 @@
 
 #[derive(Default)]
 struct Receiver {
-    jobs: VecDeque<Job>,
-    lanes: usize,
+    queue: VecDeque<Callback>,
+    connections: usize,
 }
 
 /// Call-backs that are owed.
@@ -41,7 +44,7 @@
     receivers: RefCell<HashMap<SocketAddr, Receiver>>,
 }
 
-/// Host and path of a URL.
+/// Address and path of a URL.
 fn parse(url: &str) -> Option<(SocketAddr, String)> {
     let rest = url.strip_prefix("http://")?;
     let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
@@ -50,69 +53,72 @@
 }
 
 impl Callbacks {
-    /// None are owed; they will go out by this client.
+    /// Starts without call-backs; `client` sends them.
     pub fn new(client: Client) -> Callbacks {
         Callbacks { client, receivers: RefCell::default() }
     }
 
-    /// What call-backs cost in bytes.
+    /// Meter of the bytes that call-backs use.
     pub fn meter(&self) -> &Meter {
         &self.client.meter
     }
 
-    /// Owes a call-back.
+    /// Queues a call-back.
     pub fn push(&self, store: Rc<Store>, url: &str, id: &str, outcome: &Outcome) {
         let Some((address, target)) = parse(url) else {
-            log::warn!("{id}: the call-back's URL can't be used ({url}); give an IP number and a path");
+            log::warn!("{id}: the call-back URL {url} can't be used; give http, an IP address and a path");
             return;
         };
-        let job = Job { id: id.to_string(), target, body: end_json(outcome, Some(id)), refusals: 0 };
+        let callback =
+            Callback { id: id.to_string(), target, body: end_json(outcome, Some(id)), refusals: 0 };
         let mut receivers = self.receivers.borrow_mut();
         let receiver = receivers.entry(address).or_default();
-        receiver.jobs.push_back(job);
-        let stores = store.known.stores().active().count().max(1);
-        if receiver.lanes < (ALL_LANES / stores).clamp(1, LANES) {
-            receiver.lanes += 1;
-            runtime::spawn(run_lane(store, address));
+        receiver.queue.push_back(callback);
+        let stores = store.cluster.stores().active().count().max(1);
+        if receiver.connections < (MAX_CONNECTIONS_PER_RECEIVER / stores).clamp(1, MAX_CONNECTIONS_PER_STORE)
+        {
+            receiver.connections += 1;
+            runtime::spawn(run_connection(store, address));
         }
     }
 
-    fn next(&self, address: SocketAddr) -> Option<Job> {
+    fn next(&self, address: SocketAddr) -> Option<Callback> {
         let mut receivers = self.receivers.borrow_mut();
         let receiver = receivers.get_mut(&address)?;
-        let job = receiver.jobs.pop_front();
-        if job.is_none() {
-            receiver.lanes -= 1;
+        let callback = receiver.queue.pop_front();
+        if callback.is_none() {
+            receiver.connections -= 1;
         }
-        job
+        callback
     }
 
-    async fn call(&self, address: SocketAddr, job: &Job) -> u16 {
+    async fn call(&self, address: SocketAddr, callback: &Callback) -> u16 {
         let host = address.to_string();
         let headers = [("Host", host.as_str()), ("Content-Type", "application/json")];
-        let request = encode_request("POST", &job.target, &headers, job.body.as_bytes());
-        let answer = self.client.call(address, request, CALL, &job.id, Repeat::SameIdentity).await;
+        let request = encode_request("POST", &callback.target, &headers, callback.body.as_bytes());
+        let answer =
+            self.client.call(address, request, CALL_TIMEOUT, &callback.id, Repeat::SameIdentity).await;
         answer.map_or(0, |response| response.status.as_u16())
     }
 }
 
-async fn run_lane(store: Rc<Store>, address: SocketAddr) {
-    let mut pause = FIRST_PAUSE;
-    while let Some(mut job) = store.callbacks.next(address) {
-        let status = store.callbacks.call(address, &job).await;
-        job.refusals += u32::from(status == 400);
-        if status == 200 || job.refusals >= MOST_REFUSALS {
-            pause = FIRST_PAUSE;
-            store.queue.borrow_mut().called_back(&job.id);
-            let entry = Entry::CalledBack { id: job.id.clone() };
-            store.log.note(&entry);
-            store.tell_copies(&job.id, &entry);
+async fn run_connection(store: Rc<Store>, address: SocketAddr) {
+    let mut retry_delay = MIN_RETRY_DELAY;
+    while let Some(mut callback) = store.callbacks.next(address) {
+        let status = store.callbacks.call(address, &callback).await;
+        callback.refusals += u32::from(status == 400);
+        if status == 200 || callback.refusals >= MAX_REFUSALS {
+            retry_delay = MIN_RETRY_DELAY;
+            store.queue.borrow_mut().called_back(&callback.id);
+            let entry = Entry::CalledBack { id: callback.id.clone() };
+            store.log.write_later(&entry);
+            store.send_to_holders(&callback.id, &entry);
             continue;
         }
         if let Some(receiver) = store.callbacks.receivers.borrow_mut().get_mut(&address) {
-            receiver.jobs.push_back(job);
+            receiver.queue.push_back(callback);
         }
-        runtime::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        runtime::sleep(retry_delay).await;
+        retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 }
--- a/crates/node/src/store/compaction.rs
+++ b/crates/node/src/store/compaction.rs
@@ -1,34 +1,35 @@
-//! Files of the log are given up: what still counts in the oldest one is written anew, at the end.
+//! Compaction of the log: live records of the oldest file are written again at the end, so that the file
+//! can be freed.
 use super::Store;
 use queue::{custody, Entry};
 
-/// With less of the ring free, its oldest file is written anew.
-const FREE_BELOW: f64 = 0.3;
+/// With a smaller share of free ring files, the oldest file is compacted.
+const MIN_FREE_RING_SHARE: f64 = 0.3;
 
 impl Store {
-    /// Frees a file of the ring, if few are free.
+    /// Frees a ring file if few are free.
     pub(super) async fn keep_files_free(&self) {
-        if self.log.free_share() < FREE_BELOW {
+        if self.log.free_share() < MIN_FREE_RING_SHARE {
             self.compact().await;
         }
     }
 
-    /// Writes what still counts in the oldest file of the ring anew, and frees it.
+    /// Writes the live records of the oldest ring file again, and frees the file.
     async fn compact(&self) {
         let Some((segment, ids)) = self.log.oldest() else { return };
-        let entries: Vec<Entry> = ids.iter().flat_map(|id| self.entries_of(id)).collect();
+        let entries: Vec<Entry> = ids.iter().flat_map(|id| self.current_entries(id)).collect();
         if entries.is_empty() || self.log.write(&entries).await {
             self.log.release(segment);
         }
     }
 
-    /// The records that tell all that is known of a message; without an id, of the disk itself.
-    fn entries_of(&self, id: &str) -> Vec<Entry> {
+    /// The records that describe all that is known of a message, or of the disk itself for an empty id.
+    fn current_entries(&self, id: &str) -> Vec<Entry> {
         let queue = self.queue.borrow();
         if !id.is_empty() {
-            let left = self.not_wanted.borrow().contains_key(id);
-            let left = left.then(|| Entry::Dropped { owner: self.disk, id: id.to_string() });
-            return custody::records_of(&queue, id).into_iter().chain(left).collect();
+            let relinquished = self.relinquished.borrow().contains_key(id);
+            let relinquished = relinquished.then(|| Entry::Dropped { owner: self.disk, id: id.to_string() });
+            return custody::records_of(&queue, id).into_iter().chain(relinquished).collect();
         }
         let fences = queue.fenced().iter().map(|disk| Entry::Fenced { disk: *disk });
         let taken_over = queue.taken_over().iter().map(|disk| Entry::TakenOver { disk: *disk });
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -1,5 +1,6 @@
-//! Copies at other stores: every message is on as many other disks as may be lost, before it is taken and afterwards.
-use super::copier::{Copier, HEDGE};
+//! Copies of messages on other stores: a message is accepted once it is on as many other disks as the
+//! tolerance requires, and copies that are lost later are restored.
+use super::replicator::{Replicator, HEDGE_AFTER};
 use super::Store;
 use net::runtime;
 use net::wake::Watched;
@@ -11,20 +12,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After a failure.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next attempt when no store can be asked.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What is heard of the copies of one message.
+/// Progress of copying one message.
 #[derive(Default)]
-struct Answers {
-    /// Stores that are expected to answer.
-    open: Cell<usize>,
+struct CopyAttempts {
+    /// Number of stores whose answer is still expected.
+    outstanding: Cell<usize>,
     changed: Watched,
 }
 
-/// Puts stores in the order in which they are asked: those that aren't late first, then the nearest, of those equally near
-/// a different one first each turn. Whether one is late changes by the clock, so that it is asked once for each.
-pub fn in_preference<T>(
+/// Sorts stores by the order in which they are asked: stores that answer in time before late ones, then by
+/// distance; equally distant stores take turns. `late` depends on the clock, so it is evaluated once per
+/// store.
+pub fn sort_by_preference<T>(
     stores: &mut [T],
     turn: usize,
     late: impl Fn(&T) -> bool,
@@ -36,47 +38,47 @@
 }
 
 impl Store {
-    /// Copies a message until as many other stores have it as are wanted, and to another where one doesn't answer soon.
-    pub async fn copy_enough(self: &Rc<Self>, id: &str, entry: &Entry, placement: fn(&Store) -> Placement) {
-        let answers = Rc::new(Answers::default());
-        let mut asked: Vec<u64> = Vec::new();
+    /// Copies a message to other stores until `placement` is satisfied; asks one more store when an answer
+    /// takes longer than [`HEDGE_AFTER`].
+    pub async fn ensure_copies(self: &Rc<Self>, id: &str, entry: &Entry, placement: fn(&Store) -> Placement) {
+        let attempts = Rc::new(CopyAttempts::default());
+        let mut tried: Vec<u64> = Vec::new();
         loop {
-            let seen = answers.changed.get();
+            let seen = attempts.changed.get();
             let placement = placement(self);
             let missing = self.missing_copies(id, &placement);
             if missing == 0 {
                 return;
             }
-            // Those that have not answered count as copies to come, but for one more after each hedge.
-            let more = missing.saturating_sub(answers.open.get());
-            let candidates = self
-                .settled_copiers()
-                .into_iter()
-                .filter(|copier| !asked.contains(&copier.disk) && !self.has_copy(id, copier.disk));
+            // Outstanding requests count as copies to come; each hedge timeout subtracts one.
+            let more = missing.saturating_sub(attempts.outstanding.get());
+            let candidates = self.ready_replicators().into_iter().filter(|replicator| {
+                !tried.contains(&replicator.disk) && !self.has_copy(id, replicator.disk)
+            });
             let candidates = placement.choose(candidates.collect(), |c| c.disk, &self.copies_of(id), more);
-            if more > 0 && candidates.is_empty() && answers.open.get() == 0 {
-                runtime::sleep(PAUSE).await;
-                asked.clear();
+            if more > 0 && candidates.is_empty() && attempts.outstanding.get() == 0 {
+                runtime::sleep(RETRY_DELAY).await;
+                tried.clear();
                 continue;
             }
-            for copier in candidates {
-                asked.push(copier.disk);
-                self.copy_to(&copier, id, entry, &answers);
+            for replicator in candidates {
+                tried.push(replicator.disk);
+                self.copy_to(&replicator, id, entry, &attempts);
             }
-            if runtime::timeout(HEDGE, answers.changed.changed(seen)).await.is_err() {
-                answers.open.set(answers.open.get().saturating_sub(1));
+            if runtime::timeout(HEDGE_AFTER, attempts.changed.changed(seen)).await.is_err() {
+                attempts.outstanding.set(attempts.outstanding.get().saturating_sub(1));
             }
         }
     }
 
-    /// How many copies a message needs beyond those that count; none once it has ended.
+    /// Number of copies that an unfinished message lacks; 0 for a finished one.
     pub fn missing_copies(&self, id: &str, placement: &Placement) -> usize {
         let queue = self.queue.borrow();
         let live = queue.owned(id).filter(|owned| owned.is_live());
         live.map_or(0, |owned| placement.missing(&owned.copies))
     }
 
-    /// Disks of other stores that have a message of this one.
+    /// Disks of other stores that hold a copy of an own message.
     fn copies_of(&self, id: &str) -> BTreeSet<u64> {
         self.queue.borrow().owned(id).map_or_else(BTreeSet::new, |owned| owned.copies.clone())
     }
@@ -86,97 +88,107 @@
     }
 
     /// Disks of other stores whose copies count.
-    pub fn present(&self) -> BTreeSet<u64> {
-        let (copiers, now) = (self.copiers.borrow(), runtime::now());
-        copiers.values().filter(|copier| !copier.is_away(now)).map(|copier| copier.disk).collect()
+    pub fn available_disks(&self) -> BTreeSet<u64> {
+        let (replicators, now) = (self.replicators.borrow(), runtime::now());
+        replicators
+            .values()
+            .filter(|replicator| !replicator.is_unavailable(now))
+            .map(|replicator| replicator.disk)
+            .collect()
     }
 
-    /// What the stores that are there to stay can't give of the tolerance.
+    /// Describes which part of the tolerance the remaining stores can't provide.
     pub fn unmet_tolerance(&self) -> Option<String> {
-        let view = self.known.stores();
+        let view = self.cluster.stores();
         let locations: Vec<&Location> = view.staying().map(|store| &store.location).collect();
         self.tolerance.unmet(&locations)
     }
 
-    /// Where the copies of a message have to be before it is taken.
-    pub fn placement_to_take(&self) -> Placement {
+    /// Placement that a message needs before it is accepted.
+    pub fn acceptance_placement(&self) -> Placement {
         self.placement_of(self.tolerance.copies())
     }
 
-    /// Where the copies of each message should be: at as many other stores as may be lost at once, and at one more in the
-    /// place of this store's own while it is about to go. No more than there are stores.
+    /// Placement that each message should have: as many other stores as may be lost at once, and one more
+    /// while this store is draining, but no more than are available.
     pub fn placement(&self) -> Placement {
-        let wanted = self.tolerance.copies() + usize::from(self.leaving.get());
-        self.placement_of(wanted.min(self.present().len()))
+        let wanted = self.tolerance.copies() + usize::from(self.draining.get());
+        self.placement_of(wanted.min(self.available_disks().len()))
     }
 
     fn placement_of(&self, copies: usize) -> Placement {
-        let present = self.present();
+        let available = self.available_disks();
         if !self.tolerance.needs_spread() {
-            return Placement::anywhere(present, copies);
+            return Placement::anywhere(available, copies);
         }
-        let view = self.known.stores();
-        let staying = view.staying().filter(|store| present.contains(&store.disk));
+        let view = self.cluster.stores();
+        let staying = view.staying().filter(|store| available.contains(&store.disk));
         let locations = staying.map(|store| (store.disk, store.location.clone())).collect();
-        let own = (!self.leaving.get()).then(|| self.location.clone());
-        Placement::anywhere(present, copies).with_spread(self.tolerance, locations, own)
-    }
-
-    fn copy_to(self: &Rc<Self>, copier: &Rc<Copier>, id: &str, entry: &Entry, answers: &Rc<Answers>) {
-        if !self.queue.borrow_mut().send_copy(id, copier.disk) {
+        let own = (!self.draining.get()).then(|| self.location.clone());
+        Placement::anywhere(available, copies).with_spread(self.tolerance, locations, own)
+    }
+
+    fn copy_to(
+        self: &Rc<Self>,
+        replicator: &Rc<Replicator>,
+        id: &str,
+        entry: &Entry,
+        attempts: &Rc<CopyAttempts>,
+    ) {
+        if !self.queue.borrow_mut().send_copy(id, replicator.disk) {
             return;
         }
-        answers.open.set(answers.open.get() + 1);
-        let copied = copier.copy(entry.clone());
-        let (store, id, disk, answers) = (self.clone(), id.to_string(), copier.disk, answers.clone());
+        attempts.outstanding.set(attempts.outstanding.get() + 1);
+        let copied = replicator.replicate_entry(entry.clone());
+        let (store, id, disk, attempts) = (self.clone(), id.to_string(), replicator.disk, attempts.clone());
         runtime::spawn(async move {
             if copied.await.unwrap_or(false) {
                 store.queue.borrow_mut().copy_kept(&id, disk);
             }
-            answers.open.set(answers.open.get().saturating_sub(1));
-            answers.changed.raise();
+            attempts.outstanding.set(attempts.outstanding.get().saturating_sub(1));
+            attempts.changed.raise();
         });
     }
 
-    /// Once all other stores have told what they have, recovered messages needn't wait.
-    pub fn all_settled(&self) {
-        if self.copiers.borrow().values().all(|copier| copier.is_settled()) {
-            self.recovered_until.set(0);
-            self.work.notify();
+    /// Releases recovered messages once every other store has reported what it holds.
+    pub fn release_recovered_if_ready(&self) {
+        if self.replicators.borrow().values().all(|replicator| replicator.is_ready()) {
+            self.recovery_hold_until_ms.set(0);
+            self.delivery_wake.notify();
         }
     }
 
-    /// Other stores that answer, a different one first each time.
-    pub fn settled_copiers(&self) -> Vec<Rc<Copier>> {
-        let copiers = self.copiers.borrow();
-        let view = self.known.stores();
-        let stays = |disk: u64| view.get(disk).is_some_and(|store| !store.retiring);
-        let there = copiers.values().filter(|c| c.is_settled() && !c.is_leaving() && stays(c.disk));
-        let mut settled: Vec<_> = there.cloned().collect();
-        let turn = self.turn.get();
-        self.turn.set(turn + 1);
-        let distance = |copier: &Rc<Copier>| {
-            let store = view.get(copier.disk);
+    /// Replicators that can take copies now, in order of preference.
+    pub fn ready_replicators(&self) -> Vec<Rc<Replicator>> {
+        let replicators = self.replicators.borrow();
+        let view = self.cluster.stores();
+        let is_staying = |disk: u64| view.get(disk).is_some_and(|store| !store.retiring);
+        let usable = replicators.values().filter(|c| c.is_ready() && !c.is_draining() && is_staying(c.disk));
+        let mut ready: Vec<_> = usable.cloned().collect();
+        let turn = self.next_turn.get();
+        self.next_turn.set(turn + 1);
+        let distance = |replicator: &Rc<Replicator>| {
+            let store = view.get(replicator.disk);
             store.map_or(Distance::Beyond, |store| self.location.distance(&store.location))
         };
-        in_preference(&mut settled, turn, |copier| copier.is_late(), distance);
-        settled
+        sort_by_preference(&mut ready, turn, |replicator| replicator.is_late(), distance);
+        ready
     }
 
-    async fn copy_again(self: Rc<Self>, id: String, entry: Entry) {
-        let copiers = self.copiers.borrow().clone();
-        self.queue.borrow_mut().keep_copies_at(&id, |disk| copiers.contains_key(disk));
-        self.copy_enough(&id, &entry, Store::placement).await;
+    async fn restore_copies(self: Rc<Self>, id: String, entry: Entry) {
+        let replicators = self.replicators.borrow().clone();
+        self.queue.borrow_mut().keep_copies_at(&id, |disk| replicators.contains_key(disk));
+        self.ensure_copies(&id, &entry, Store::placement).await;
         self.repairing.borrow_mut().remove(&id);
-        self.reservations.look_again();
+        self.reservations.notify_changed();
     }
 
-    /// Copies messages again that are at too few other stores that are there.
+    /// Copies messages again that lack copies on available stores.
     pub async fn repair(self: &Rc<Self>) {
         let now = runtime::now();
-        let all_settled = self.copiers.borrow().values().all(|c| c.is_settled() || c.is_away(now));
-        let patient = self.clock.ms() < self.started + 3_000;
-        if !all_settled && patient {
+        let all_ready = self.replicators.borrow().values().all(|c| c.is_ready() || c.is_unavailable(now));
+        let is_starting = self.clock.ms() < self.started + 3_000;
+        if !all_ready && is_starting {
             return;
         }
         self.needs_repair.set(false);
@@ -190,23 +202,23 @@
             lacking.map(|message| (message.id().to_string(), entry(message))).collect()
         };
         if !lacking.is_empty() {
-            log::info!("{} messages are copied again", lacking.len());
+            log::info!("restoring the copies of {} messages", lacking.len());
         }
-        runtime::spawn(self.clone().copy_ended());
+        runtime::spawn(self.clone().copy_finished());
         for (id, entry) in lacking {
-            runtime::spawn(self.clone().copy_again(id, entry));
+            runtime::spawn(self.clone().restore_copies(id, entry));
         }
     }
 
-    /// A message that has not ended is at too few other stores.
+    /// Whether an unfinished message lacks copies.
     pub fn lacks_live_copies(&self) -> bool {
         let (queue, placement) = (self.queue.borrow(), self.placement());
         let lacks = custody::lacking_copies(&queue, &placement).next().is_some();
         lacks
     }
 
-    /// A message is at too few other stores, live or ended, if something of it is owed.
+    /// Whether any message lacks copies: an unfinished one, or a finished one that still owes something.
     pub fn lacks_copies(&self) -> bool {
-        self.lacks_live_copies() || self.lacks_ended_copies()
+        self.lacks_live_copies() || self.lacks_finished_copies()
     }
 }
--- a/crates/node/src/store/deliver.rs
+++ b/crates/node/src/store/deliver.rs
@@ -1,4 +1,4 @@
-//! The delivery sender of a store: messages that may run go to endpoints that may take them.
+//! Delivery of a store's messages to endpoints.
 use super::endpoints::Call;
 use super::Store;
 use crate::process::wall_ms;
@@ -6,112 +6,120 @@
 use net::http::{encode_request, Response};
 use net::repeat::Repeat;
 use net::runtime;
-use policy::api::Outcome as Told;
+use policy::api::Outcome as PolicyOutcome;
 use queue::{End, Entry, Envelope, Outcome};
 use settings::{Configuration, Route};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often caps are chosen (the paper's control rate).
-const CONTROL: Duration = Duration::from_millis(100);
-/// The longest sleep without a reason to wake.
-const IDLE: u64 = 1_000;
-/// The shortest, in milliseconds.
-const SOONEST: u64 = 2;
-/// An answer may come so much after the route's time.
-const SLACK: Duration = Duration::from_millis(100);
-/// Pauses between the attempts of a message.
-const FAILED_PAUSE: u64 = 60;
-const LONGEST_FAILED_PAUSE: u64 = 500;
-const UNKNOWN_PAUSE: u64 = 60;
-const NOT_RUN_PAUSE: u64 = 10;
-/// What an answer, or its absence, says of the message.
+/// Interval at which the concurrency limits of endpoints are updated (the control rate of the QoSmax paper).
+const CAP_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time between two passes over the routes.
+const MAX_IDLE_MS: u64 = 1_000;
+/// Shortest time between two passes over the routes.
+const MIN_WAIT_MS: u64 = 2;
+/// Time beyond the route's timeout in which an answer is still accepted.
+const ANSWER_GRACE: Duration = Duration::from_millis(100);
+/// Delays before the next attempt of a message: the first and the longest after failures, after an unknown
+/// result, and after a delivery that was not executed.
+const FAILED_RETRY_MS: u64 = 60;
+const MAX_FAILED_RETRY_MS: u64 = 500;
+const UNKNOWN_RETRY_MS: u64 = 60;
+const NOT_EXECUTED_RETRY_MS: u64 = 10;
+
+/// What the answer to a delivery, or its absence, means for the message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Done(String),
-    Never,
+    /// Executed, with this server signature.
+    Completed(String),
+    /// Rejected for good: the message becomes a dead letter.
+    Rejected,
+    /// Executed and failed: counts as an attempt.
     Failed,
-    NotRun,
-    Moved,
+    /// Not executed: the message is sent again soon.
+    NotExecuted,
+    /// Another instance answers at this address.
+    WrongInstance,
+    /// It isn't known whether the message was executed.
     Unknown,
 }
 
-/// Reads an answer to a delivery.
+/// Interprets the answer to a delivery.
 pub fn verdict(id: &str, answer: &Result<Response, CallError>) -> Verdict {
     let response = match answer {
         Ok(response) => response,
-        Err(CallError::NotSent) => return Verdict::NotRun,
+        Err(CallError::NotSent) => return Verdict::NotExecuted,
         Err(_) => return Verdict::Unknown,
     };
-    let of = response.header("x-request-id");
-    if !of.is_empty() && of != id {
+    let answered_id = response.header("x-request-id");
+    if !answered_id.is_empty() && answered_id != id {
         return Verdict::Unknown;
     }
-    let not_run = response.headers.contains_key("x-not-executed");
+    let not_executed = response.headers.contains_key("x-not-executed");
     let signature = response.header("x-server-signature");
     match response.status.as_u16() {
-        421 => Verdict::Moved,
-        _ if not_run => Verdict::NotRun,
-        200..=299 if !signature.is_empty() => Verdict::Done(signature.to_string()),
-        422 => Verdict::Never,
+        421 => Verdict::WrongInstance,
+        _ if not_executed => Verdict::NotExecuted,
+        200..=299 if !signature.is_empty() => Verdict::Completed(signature.to_string()),
+        422 => Verdict::Rejected,
         500 => Verdict::Failed,
         _ => Verdict::Unknown,
     }
 }
 
-fn outcome(verdict: &Verdict, answer: &Result<Response, CallError>) -> Told {
+fn policy_outcome(verdict: &Verdict, answer: &Result<Response, CallError>) -> PolicyOutcome {
     match (verdict, answer) {
-        (Verdict::Done(_) | Verdict::Never, _) => Told::Served,
-        (Verdict::Failed, _) => Told::ServerError,
-        (Verdict::Moved, _) => Told::CalledOff,
-        (_, Err(CallError::NotSent)) => Told::NoConnection,
-        (Verdict::NotRun, _) => Told::TurnedAway,
-        (_, Err(CallError::TimedOut)) => Told::NoAnswer,
-        _ => Told::ConnectionLost,
+        (Verdict::Completed(_) | Verdict::Rejected, _) => PolicyOutcome::Served,
+        (Verdict::Failed, _) => PolicyOutcome::ServerError,
+        (Verdict::WrongInstance, _) => PolicyOutcome::CalledOff,
+        (_, Err(CallError::NotSent)) => PolicyOutcome::NoConnection,
+        (Verdict::NotExecuted, _) => PolicyOutcome::TurnedAway,
+        (_, Err(CallError::TimedOut)) => PolicyOutcome::NoAnswer,
+        _ => PolicyOutcome::ConnectionLost,
     }
 }
 
-/// The slots of an endpoint that tells its load: the last of three numbers, after those of running and waiting requests.
+/// Slots of an endpoint that reports its load as three numbers: running requests, waiting requests, slots.
 fn slots(answer: &Result<Response, CallError>) -> Option<usize> {
-    let told = answer.as_ref().ok()?.header("x-server-load");
-    told.split(',').nth(2)?.trim().parse().ok()
+    let load = answer.as_ref().ok()?.header("x-server-load");
+    load.split(',').nth(2)?.trim().parse().ok()
 }
 
-/// Delivers for good.
+/// Runs deliveries until the process ends.
 pub async fn deliver(store: Rc<Store>) {
     runtime::spawn(choose_caps(store.clone()));
-    runtime::spawn(follow(store.clone()));
+    runtime::spawn(follow_configuration(store.clone()));
     loop {
         let next = store.start_due();
-        let wait = Duration::from_millis(next.saturating_sub(wall_ms()).clamp(1, IDLE));
-        let _ = runtime::timeout(wait, store.work.notified()).await;
+        let wait = Duration::from_millis(next.saturating_sub(wall_ms()).clamp(1, MAX_IDLE_MS));
+        let _ = runtime::timeout(wait, store.delivery_wake.notified()).await;
     }
 }
 
 async fn choose_caps(store: Rc<Store>) {
     loop {
-        runtime::sleep(CONTROL).await;
+        runtime::sleep(CAP_UPDATE_INTERVAL).await;
         store.endpoints.borrow_mut().choose_caps(store.clock.ns());
     }
 }
 
-/// Takes each new list and configuration; messages whose route was dropped end.
-async fn follow(store: Rc<Store>) {
+/// Applies each new list of endpoints and configuration, and finishes messages whose route was removed.
+async fn follow_configuration(store: Rc<Store>) {
     let mut seen = 0;
     let mut unknown_zones = BTreeSet::new();
     loop {
-        let changes = store.known.changes.changed(seen);
+        let changes = store.cluster.changes.changed(seen);
         let _ = runtime::timeout(Duration::from_millis(1_000), changes).await;
-        if seen != store.known.changes.get() {
-            seen = store.known.changes.get();
-            let configuration = store.known.configuration();
-            let senders = store.known.stores().active().count();
-            let (list, topology) = (store.known.endpoints(), &store.settings.topology);
+        if seen != store.cluster.changes.get() {
+            seen = store.cluster.changes.get();
+            let configuration = store.cluster.configuration();
+            let senders = store.cluster.stores().active().count();
+            let (list, topology) = (store.cluster.endpoints(), &store.settings.topology);
             for endpoint in list.iter().filter(|endpoint| !topology.knows(&endpoint.zone)) {
                 if unknown_zones.insert(endpoint.zone.clone()) {
                     log::warn!(
-                        "the zone {:?} of endpoint {} is not among Zones of the settings, so it counts as far: add it",
+                        "zone {:?} of endpoint {} is not in the setting Zones and counts as distant; add it",
                         endpoint.zone,
                         endpoint.id
                     );
@@ -119,44 +127,44 @@
             }
             store.endpoints.borrow_mut().update(&configuration, &list, topology, senders);
         }
-        store.end_what_is_over();
+        store.finish_expired();
         let endpoints = &store.endpoints;
-        store.client.sweep(|address| endpoints.borrow().knows(address));
-        store.work.notify();
+        store.client.sweep(|address| endpoints.borrow().contains_address(address));
+        store.delivery_wake.notify();
     }
 }
 
 impl Store {
-    fn end_what_is_over(self: &Rc<Self>) {
+    fn finish_expired(self: &Rc<Self>) {
         let now = wall_ms();
-        let version = self.known.version();
+        let version = self.cluster.version();
         if version == 0 {
             return;
         }
-        let configuration = self.known.configuration();
-        let there = |envelope: &Envelope| {
+        let configuration = self.cluster.configuration();
+        let has_route = |envelope: &Envelope| {
             envelope.version > version || configuration.named(&envelope.route).is_some()
         };
-        let over = self.queue.borrow().over(now, there);
-        for id in over {
-            log::info!("{id} ends: its route or its time is over");
+        let expired = self.queue.borrow().over(now, has_route);
+        for id in expired {
+            log::info!("{id} becomes a dead letter: its route was removed or it has expired");
             self.finish(End { id, outcome: Outcome::DeadLetter, at: now });
         }
-        // The end may be by the clock of another store.
+        // The time in a final record may come from the clock of another store.
         let bounds = &self.settings.bounds;
-        let told_for = bounds.status_ttl_s.max(bounds.key_window_s);
-        let keep = (told_for * 1_000.0) as u64 + bounds.max_skew_ms;
-        self.queue.borrow_mut().forget(now.saturating_sub(keep));
+        let retention_s = bounds.status_ttl_s.max(bounds.key_window_s);
+        let retention_ms = (retention_s * 1_000.0) as u64 + bounds.max_skew_ms;
+        self.queue.borrow_mut().forget(now.saturating_sub(retention_ms));
     }
 
-    /// Starts all that may run; tells when to look again.
+    /// Starts all deliveries that are due; returns the wall-clock time of the next pass.
     fn start_due(self: &Rc<Self>) -> u64 {
         let now = wall_ms();
-        let mut next = now + IDLE;
-        if self.known.version() == 0 || self.paused.get() {
+        let mut next = now + MAX_IDLE_MS;
+        if self.cluster.version() == 0 || self.paused.get() {
             return next;
         }
-        let configuration = self.known.configuration();
+        let configuration = self.cluster.configuration();
         let names: Vec<String> = self.queue.borrow().routes().cloned().collect();
         let mut routes: Vec<&Route> = names.iter().filter_map(|name| configuration.named(name)).collect();
         routes.sort_by_key(|route| route.priority);
@@ -164,38 +172,45 @@
             next = next.min(self.start_route(&configuration, route, now));
         }
         let due = self.queue.borrow().next_due().unwrap_or(next);
-        next.min(due.max(now + SOONEST))
+        next.min(due.max(now + MIN_WAIT_MS))
     }
 
-    /// Nothing runs before this store knows that it still owns what it recovered, and nothing whose time is over.
+    /// Whether a message may be delivered now. It is held back while another store may own it, and isn't
+    /// delivered after its expiry.
     fn may_run(&self, envelope: &Envelope, now: u64) -> bool {
         let is_bound = envelope.home_key().is_some();
-        let key_may = !is_bound || self.key_may_run(envelope);
-        let is_elsewhere = (self.leaving.get() && !is_bound) || self.is_asked_for(&envelope.id);
-        let is_here = !is_elsewhere && self.clock.ms() >= self.recovered_until.get();
-        let may = key_may && (envelope.ordered || is_here);
-        may && self.acts_by_a_view() && now < envelope.expires_at
+        let key_allows = !is_bound || self.key_may_run(envelope);
+        let is_withheld = (self.draining.get() && !is_bound) || self.has_relinquish_request(&envelope.id);
+        let is_released = !is_withheld && self.clock.ms() >= self.recovery_hold_until_ms.get();
+        let may = key_allows && (envelope.ordered || is_released);
+        may && self.has_applied_view() && now < envelope.expires_at
     }
 
     fn start_route(self: &Rc<Self>, configuration: &Rc<Configuration>, route: &Route, now: u64) -> u64 {
-        let steady = self.clock.ms();
+        let steady_now = self.clock.ms();
         loop {
             let due = self.queue.borrow_mut().next(&route.name, now, |envelope| self.may_run(envelope, now));
-            let Some(id) = due else { return now + IDLE };
-            let picked = self.endpoints.borrow().pick(&route.service, &self.location, steady);
+            let Some(id) = due else { return now + MAX_IDLE_MS };
+            let picked = self.endpoints.borrow().pick(&route.service, &self.location, steady_now);
             let Some(endpoint) = picked else {
-                let next = self.endpoints.borrow().next_try(&route.service, steady);
-                return next.map_or(now + IDLE, |at| now + (at - steady));
+                let next = self.endpoints.borrow().next_try(&route.service, steady_now);
+                return next.map_or(now + MAX_IDLE_MS, |at| now + (at - steady_now));
             };
             let waiting = self.queue.borrow().backlog(&route.name);
-            if let Err(wait) = self.spend(configuration, &route.service, waiting, steady) {
+            if let Err(wait) = self.take_permit(configuration, &route.service, waiting, steady_now) {
                 return now + wait;
             }
-            self.start_one(configuration, route, &id, endpoint);
+            self.start_delivery(configuration, route, &id, endpoint);
         }
     }
 
-    fn start_one(self: &Rc<Self>, configuration: &Rc<Configuration>, route: &Route, id: &str, at: usize) {
+    fn start_delivery(
+        self: &Rc<Self>,
+        configuration: &Rc<Configuration>,
+        route: &Route,
+        id: &str,
+        endpoint_index: usize,
+    ) {
         let Some(message) = self.queue.borrow_mut().start(id) else { return };
         let body = match message.verified_body() {
             Ok(body) => body,
@@ -205,62 +220,78 @@
                 return;
             }
         };
-        let began = self.clock.ns();
+        let started_at_ns = self.clock.ns();
         let mut endpoints = self.endpoints.borrow_mut();
         let class = endpoints.class(&route.service, &route.name);
-        let (address, instance, level) = endpoints.begin(&route.service, at, class, began);
+        let (address, instance, concurrency) =
+            endpoints.begin(&route.service, endpoint_index, class, started_at_ns);
         let classes = endpoints.deadlines(configuration, &route.service);
-        let call = Call { service: route.service.clone(), address, instance, class, classes, level, began };
+        let call = Call {
+            service: route.service.clone(),
+            address,
+            instance,
+            class,
+            classes,
+            concurrency,
+            started_at_ns,
+        };
         let request = request(&message.envelope, body, &call, route.timeout_ms);
-        let within = Duration::from_millis(route.timeout_ms) + SLACK;
-        self.running.set(self.running.get() + 1);
-        runtime::spawn(self.clone().run_one(
+        let timeout = Duration::from_millis(route.timeout_ms) + ANSWER_GRACE;
+        self.running_deliveries.set(self.running_deliveries.get() + 1);
+        runtime::spawn(self.clone().run_delivery(
             id.to_string(),
             request,
-            within,
+            timeout,
             call,
             route.max_attempts as u32,
         ));
     }
 
-    async fn run_one(self: Rc<Self>, id: String, request: Vec<u8>, within: Duration, call: Call, most: u32) {
-        // It may have run if no answer comes: whether it goes out again is the queue's to decide.
-        let answer = self.client.call(call.address, request, within, &id, Repeat::Never).await;
+    async fn run_delivery(
+        self: Rc<Self>,
+        id: String,
+        request: Vec<u8>,
+        timeout: Duration,
+        call: Call,
+        max_attempts: u32,
+    ) {
+        // Without an answer the request may have been executed; the queue decides whether to send it again.
+        let answer = self.client.call(call.address, request, timeout, &id, Repeat::Never).await;
         let verdict = verdict(&id, &answer);
-        if !matches!(verdict, Verdict::Done(_)) {
+        if !matches!(verdict, Verdict::Completed(_)) {
             log::debug!("{id} at {}: {verdict:?}", call.address);
         }
         let clock = (self.clock.ms(), self.clock.ns());
-        self.endpoints.borrow_mut().end(&call, outcome(&verdict, &answer), slots(&answer), clock);
-        self.running.set(self.running.get() - 1);
-        self.conclude(&id, verdict, most);
-        self.work.notify();
+        self.endpoints.borrow_mut().end(&call, policy_outcome(&verdict, &answer), slots(&answer), clock);
+        self.running_deliveries.set(self.running_deliveries.get() - 1);
+        self.conclude(&id, verdict, max_attempts);
+        self.delivery_wake.notify();
     }
 
-    fn conclude(self: &Rc<Self>, id: &str, verdict: Verdict, most: u32) {
+    fn conclude(self: &Rc<Self>, id: &str, verdict: Verdict, max_attempts: u32) {
         let now = wall_ms();
         let end = |outcome| End { id: id.to_string(), outcome, at: now };
         let failed = self.queue.borrow().owned(id).map_or(0, |known| known.attempts);
         match verdict {
-            Verdict::Done(signature) => self.finish(end(Outcome::Completed { signature })),
-            Verdict::Never => self.finish(end(Outcome::DeadLetter)),
-            Verdict::Failed if failed + 1 >= most => self.finish(end(Outcome::DeadLetter)),
+            Verdict::Completed(signature) => self.finish(end(Outcome::Completed { signature })),
+            Verdict::Rejected => self.finish(end(Outcome::DeadLetter)),
+            Verdict::Failed if failed + 1 >= max_attempts => self.finish(end(Outcome::DeadLetter)),
             Verdict::Failed => {
                 let attempts = failed + 1;
-                let pause = (FAILED_PAUSE << attempts.min(8)).min(LONGEST_FAILED_PAUSE);
-                self.queue.borrow_mut().retry(id, attempts, now + pause);
+                let delay = (FAILED_RETRY_MS << attempts.min(8)).min(MAX_FAILED_RETRY_MS);
+                self.queue.borrow_mut().retry(id, attempts, now + delay);
                 let entry = Entry::Failed { id: id.to_string(), attempts };
-                self.log.note(&entry);
-                self.tell_copies(id, &entry);
+                self.log.write_later(&entry);
+                self.send_to_holders(id, &entry);
             }
-            Verdict::NotRun | Verdict::Moved => {
-                self.queue.borrow_mut().retry(id, failed, now + NOT_RUN_PAUSE);
+            Verdict::NotExecuted | Verdict::WrongInstance => {
+                self.queue.borrow_mut().retry(id, failed, now + NOT_EXECUTED_RETRY_MS);
             }
-            Verdict::Unknown => self.queue.borrow_mut().retry(id, failed, now + UNKNOWN_PAUSE),
+            Verdict::Unknown => self.queue.borrow_mut().retry(id, failed, now + UNKNOWN_RETRY_MS),
         }
     }
 
-    /// For an operator's tool.
+    /// Number of waiting messages by route, for the status.
     pub fn backlog(&self) -> BTreeMap<String, usize> {
         let queue = self.queue.borrow();
         let backlog = queue.routes().map(|route| (route.clone(), queue.backlog(route))).collect();
@@ -268,7 +299,7 @@
     }
 }
 
-/// The delivery: the request as it arrived, with this attempt's time and the endpoint that is meant.
+/// Builds the delivery request: the original request with this attempt's timeout and the expected instance.
 fn request(envelope: &Envelope, body: &[u8], call: &Call, timeout_ms: u64) -> Vec<u8> {
     let timeout = timeout_ms.to_string();
     let mut headers =
--- a/crates/node/src/store/endpoints.rs
+++ b/crates/node/src/store/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a delivery sender: what each may have in flight, and which are in doubt.
+//! Endpoints of the delivery: concurrency limits, backoff after failures, and choice of the next endpoint.
 use crate::calls;
 use policy::admission::{Admission, ClassDeadline};
 use policy::api::Outcome;
@@ -6,44 +6,46 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Slots of an endpoint that hasn't told them yet.
-const UNTOLD_SLOTS: usize = 16;
-const MS: i64 = 1_000_000;
-/// First and longest pause of an endpoint that failed.
-const DOUBT_MS: (u64, u64) = (50, 400);
-/// An endpoint that turned a message away as full gets none for so long.
-const FULL_MS: u64 = 40;
-/// One that isn't who it was.
-const MOVED_MS: u64 = 2_000;
+/// Assumed slots of an endpoint that hasn't reported any.
+const DEFAULT_SLOTS: usize = 16;
+const NANOS_PER_MS: i64 = 1_000_000;
+/// First and longest backoff after a failure.
+const FAILURE_BACKOFF_MS: (u64, u64) = (50, 400);
+/// Backoff after an endpoint rejected a message because it is full.
+const FULL_BACKOFF_MS: u64 = 40;
+/// Backoff after an address turned out to be another instance.
+const MOVED_BACKOFF_MS: u64 = 2_000;
 
 /// One endpoint.
 pub struct Endpoint {
+    /// Its address.
     pub address: SocketAddr,
-    /// Its incarnation, where it is on a list.
+    /// Id of the instance, if it is on the platform's list.
     pub id: Option<String>,
-    /// Where it stands, if it is on a list: others are outside, as near as any.
+    /// Location, if it is on the list; other endpoints count as being in the same zone.
     location: Option<Location>,
+    /// Calls in progress.
     pub in_flight: usize,
-    /// Calls that it accepts from this sender at the most.
+    /// Concurrent calls that it accepts from this sender.
     connections: usize,
     admission: Admission,
-    /// Gets nothing new: draining, or gone from the list.
-    leaving: bool,
+    /// Gets no new calls: it is draining or was removed from the list.
+    draining: bool,
     failures: u32,
     avoid_until: u64,
 }
 
 impl Endpoint {
-    fn may_take(&self, now: u64) -> bool {
-        let most = if self.failures > 0 { 1 } else { self.admission.cap().min(self.connections) };
-        !self.leaving && now >= self.avoid_until && self.in_flight < most
+    fn has_capacity(&self, now: u64) -> bool {
+        let limit = if self.failures > 0 { 1 } else { self.admission.cap().min(self.connections) };
+        !self.draining && now >= self.avoid_until && self.in_flight < limit
     }
 
     fn distance(&self, from: &Location) -> Distance {
         self.location.as_ref().map_or(Distance::SameZone, |location| from.distance(location))
     }
 
-    fn room(&self) -> f64 {
+    fn load(&self) -> f64 {
         self.in_flight as f64 / self.admission.slots().max(1) as f64
     }
 }
@@ -52,12 +54,12 @@
 #[derive(Default)]
 pub struct Endpoints {
     services: BTreeMap<String, Vec<Endpoint>>,
-    /// Names of the routes of a service: its classes.
+    /// Names of a service's routes; each route is a class.
     classes: BTreeMap<String, Vec<String>>,
 }
 
 impl Endpoints {
-    /// Takes a new list and a new configuration; what was learned of endpoints that stay is kept.
+    /// Applies a new list and configuration; keeps the state of endpoints that remain.
     pub fn update(
         &mut self,
         configuration: &Configuration,
@@ -70,27 +72,28 @@
         for service in &configuration.services {
             let routes = configuration.routes.iter().filter(|route| route.service == service.name);
             let routes: Vec<_> = routes.collect();
-            let deadline = |ms: u64| ClassDeadline { deadline: ms as i64 * MS };
+            let deadline = |ms: u64| ClassDeadline { deadline: ms as i64 * NANOS_PER_MS };
             let classes: Vec<_> = routes.iter().map(|route| deadline(route.timeout_ms)).collect();
             self.classes
                 .insert(service.name.clone(), routes.iter().map(|route| route.name.clone()).collect());
             let old = before.remove(&service.name).unwrap_or_default();
-            let endpoints = wanted(service, list, topology, old, &classes, senders);
+            let endpoints = build_endpoints(service, list, topology, old, &classes, senders);
             self.services.insert(service.name.clone(), endpoints);
         }
     }
 
-    /// The number of a route's class at its service.
+    /// Index of a route's class at its service.
     pub fn class(&self, service: &str, route: &str) -> usize {
         let classes = self.classes.get(service);
         classes.and_then(|classes| classes.iter().position(|name| name == route)).unwrap_or(usize::MAX)
     }
 
-    /// An endpoint of the service that may take a message: the nearest to `from`, of these the one with most room.
+    /// Index of the endpoint that gets the next message: the nearest to `from` that has capacity, and of
+    /// equally near ones the least loaded.
     pub fn pick(&self, service: &str, from: &Location, now: u64) -> Option<usize> {
         let endpoints = self.services.get(service)?;
-        let free = endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.may_take(now));
-        let order = |e: &Endpoint| (e.distance(from), e.room());
+        let free = endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.has_capacity(now));
+        let order = |e: &Endpoint| (e.distance(from), e.load());
         let best = free.min_by(|(_, a), (_, b)| {
             let (a, b) = (order(a), order(b));
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
@@ -98,37 +101,38 @@
         best.map(|(i, _)| i)
     }
 
-    /// A call begins: the endpoint's address, its incarnation, and the level at which it is.
+    /// Records the start of a call; returns the endpoint's address, its instance id, and the number of its
+    /// calls in flight.
     pub fn begin(
         &mut self,
         service: &str,
-        at: usize,
+        index: usize,
         class: usize,
         now: i64,
     ) -> (SocketAddr, Option<String>, usize) {
-        let endpoint = &mut self.services.get_mut(service).expect("was picked")[at];
+        let endpoint = &mut self.services.get_mut(service).expect("was picked")[index];
         endpoint.in_flight += 1;
         endpoint.admission.arrived(class, now);
         (endpoint.address, endpoint.id.clone(), endpoint.in_flight)
     }
 
-    /// A call has ended; the endpoint may have told how many slots it has.
+    /// Records the end of a call; `slots` is what the endpoint reported, if anything.
     pub fn end(&mut self, call: &Call, outcome: Outcome, slots: Option<usize>, clock: (u64, i64)) {
         let Some(endpoint) = self.find(call) else { return };
         let (now, ns) = clock;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        endpoint.admission.book(outcome, ns - call.began, call.class, call.level, ns);
+        endpoint.admission.book(outcome, ns - call.started_at_ns, call.class, call.concurrency, ns);
         if let Some(slots) = slots.filter(|slots| *slots > 0 && *slots != endpoint.admission.slots()) {
             endpoint.admission.change(slots, &call.classes);
         }
         match outcome {
             Outcome::Served | Outcome::ServerError => endpoint.failures = 0,
-            Outcome::TurnedAway => endpoint.avoid_until = now + FULL_MS,
-            Outcome::CalledOff => endpoint.avoid_until = now + MOVED_MS,
+            Outcome::TurnedAway => endpoint.avoid_until = now + FULL_BACKOFF_MS,
+            Outcome::CalledOff => endpoint.avoid_until = now + MOVED_BACKOFF_MS,
             _ => {
                 endpoint.failures += 1;
-                let pause = DOUBT_MS.0 << endpoint.failures.min(4);
-                endpoint.avoid_until = now + pause.min(DOUBT_MS.1);
+                let pause = FAILURE_BACKOFF_MS.0 << endpoint.failures.min(4);
+                endpoint.avoid_until = now + pause.min(FAILURE_BACKOFF_MS.1);
             }
         }
     }
@@ -141,10 +145,10 @@
     /// The deadlines of a service's classes.
     pub fn deadlines(&self, configuration: &Configuration, service: &str) -> Vec<ClassDeadline> {
         let routes = configuration.routes.iter().filter(|route| route.service == service);
-        routes.map(|route| ClassDeadline { deadline: route.timeout_ms as i64 * MS }).collect()
+        routes.map(|route| ClassDeadline { deadline: route.timeout_ms as i64 * NANOS_PER_MS }).collect()
     }
 
-    /// Chooses all caps anew.
+    /// Recomputes the concurrency limits of all endpoints.
     pub fn choose_caps(&mut self, now: i64) {
         let endpoints = self.services.values_mut().flatten();
         endpoints
@@ -152,49 +156,59 @@
             .for_each(|endpoint| endpoint.admission.choose(now));
     }
 
-    /// When the next endpoint of a service that is avoided may be tried.
+    /// When the backoff of a service's next endpoint ends.
     pub fn next_try(&self, service: &str, now: u64) -> Option<u64> {
         let endpoints = self.services.get(service)?;
-        endpoints.iter().filter(|e| !e.leaving && e.avoid_until > now).map(|e| e.avoid_until).min()
+        endpoints.iter().filter(|e| !e.draining && e.avoid_until > now).map(|e| e.avoid_until).min()
     }
 
-    /// Whether any endpoint is at this address.
-    pub fn knows(&self, address: &SocketAddr) -> bool {
+    /// Whether any endpoint has this address.
+    pub fn contains_address(&self, address: &SocketAddr) -> bool {
         self.services.values().flatten().any(|endpoint| endpoint.address == *address)
     }
 
-    /// How far an endpoint at this address is, if it is on the list.
+    /// Distance to the endpoint with this address, if it is on the list.
     pub fn distance_of(&self, ip: IpAddr, from: &Location) -> Option<Distance> {
         let mut all = self.services.values().flatten();
         let endpoint = all.find(|endpoint| endpoint.address.ip() == ip);
         endpoint.and_then(|endpoint| endpoint.location.as_ref()).map(|location| from.distance(location))
     }
 
-    /// For an operator's tool: address, cap, in flight, failures.
-    pub fn show(&self) -> Vec<serde_json::Value> {
-        let show = |(service, e): (&String, &Endpoint)| {
+    /// State of all endpoints for the status.
+    pub fn status_json(&self) -> Vec<serde_json::Value> {
+        let to_json = |(service, e): (&String, &Endpoint)| {
             serde_json::json!({
                 "service": service, "address": e.address.to_string(), "slots": e.admission.slots(),
-                "cap": e.admission.cap(), "in_flight": e.in_flight, "failures": e.failures, "leaving": e.leaving,
+                "cap": e.admission.cap(), "in_flight": e.in_flight, "failures": e.failures, "leaving": e.draining,
             })
         };
-        self.services.iter().flat_map(|(name, list)| list.iter().map(move |e| (name, e))).map(show).collect()
+        self.services
+            .iter()
+            .flat_map(|(name, list)| list.iter().map(move |e| (name, e)))
+            .map(to_json)
+            .collect()
     }
 }
 
-/// A call that is under way.
+/// A call in progress.
 pub struct Call {
+    /// Name of the service.
     pub service: String,
+    /// Address of the endpoint.
     pub address: SocketAddr,
+    /// Expected instance at the address, if known.
     pub instance: Option<String>,
+    /// Class of the route.
     pub class: usize,
+    /// Deadlines of the service's classes.
     pub classes: Vec<ClassDeadline>,
-    pub level: usize,
-    /// On the steady clock, in nanoseconds.
-    pub began: i64,
+    /// Calls in flight at the endpoint when this one started, including it.
+    pub concurrency: usize,
+    /// Start of the call on the monotonic clock.
+    pub started_at_ns: i64,
 }
 
-fn wanted(
+fn build_endpoints(
     service: &Service,
     list: &[calls::Endpoint],
     topology: &Topology,
@@ -208,7 +222,7 @@
                    id: Option<String>,
                    location: Option<Location>,
                    slots: Option<usize>,
-                   leaving: bool| {
+                   draining: bool| {
         let known = old.iter().position(|e| e.address == address && e.id == id).map(|i| old.swap_remove(i));
         let mut endpoint = known.unwrap_or_else(|| Endpoint {
             address,
@@ -216,14 +230,14 @@
             location,
             in_flight: 0,
             connections,
-            admission: Admission::new(slots.unwrap_or(UNTOLD_SLOTS), classes),
-            leaving,
+            admission: Admission::new(slots.unwrap_or(DEFAULT_SLOTS), classes),
+            draining,
             failures: 0,
             avoid_until: 0,
         });
         let slots = slots.unwrap_or(endpoint.admission.slots());
         endpoint.admission.change(slots, classes);
-        (endpoint.leaving, endpoint.connections) = (leaving, connections);
+        (endpoint.draining, endpoint.connections) = (draining, connections);
         endpoints.push(endpoint);
     };
     if let Some(address) = service.pinned.as_ref().and_then(|address| address.parse().ok()) {
@@ -236,9 +250,9 @@
             add(address, Some(entry.id.clone()), location, slots, entry.draining);
         }
     }
-    // Those that are gone stay until their calls have ended.
+    // Removed endpoints stay until their calls have ended.
     for mut gone in old.into_iter().filter(|endpoint| endpoint.in_flight > 0) {
-        gone.leaving = true;
+        gone.draining = true;
         endpoints.push(gone);
     }
     endpoints
--- a/crates/node/src/store/intake.rs
+++ b/crates/node/src/store/intake.rs
@@ -1,5 +1,6 @@
-//! Messages are taken: a store has each on its disk, and as many others as may be lost, before it says so.
-use super::races::{Asked, LeftBecause};
+//! Accepts messages: a message is acknowledged once it is on this disk and on as many others as the
+//! tolerance requires.
+use super::relinquish::{RelinquishReason, RelinquishResponse};
 use super::Store;
 use crate::calls::{PutAnswer, Refusal};
 use futures_channel::oneshot;
@@ -8,140 +9,148 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A disk that has been at one batch for so long doesn't keep up.
-const DISK_LAG: Duration = Duration::from_millis(250);
-/// After a failure of the disk.
-const PAUSE: Duration = Duration::from_millis(150);
-/// With less of the ring free, nothing is taken.
-const FULL_BELOW: f64 = 0.1;
-/// Share of the process's memory that messages may take.
-const MEMORY_SHARE: f64 = 0.4;
+/// If the disk has worked on one batch for this long, the store counts as overloaded.
+const MAX_DISK_LAG: Duration = Duration::from_millis(250);
+/// Delay after a failed write to the disk.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Minimum share of free ring files; below it no message is accepted.
+const MIN_FREE_RING_SHARE: f64 = 0.1;
+/// Share of the process memory that messages may use.
+const MAX_MEMORY_SHARE: f64 = 0.4;
 
 impl Store {
-    /// Why a message isn't taken.
+    /// Why a message can't be accepted, if so.
     fn refusal(&self, envelope: &Envelope) -> Option<Refusal> {
-        self.refusal_of_key(envelope).or_else(|| self.refusal_to_take(envelope))
+        self.key_refusal(envelope).or_else(|| self.acceptance_refusal(envelope))
     }
 
-    /// Why this store can say nothing about a message: nothing is taken any more, or what it is bound to is another store's
-    /// to decide, or this one's only once it has all that it takes over.
-    pub(super) fn refusal_of_key(&self, envelope: &Envelope) -> Option<Refusal> {
+    /// Why this store can't decide about a message: it is paused, another store owns the key's partition,
+    /// or this store hasn't yet collected all that it takes over.
+    pub(super) fn key_refusal(&self, envelope: &Envelope) -> Option<Refusal> {
         if self.paused.get() {
             return Some(Refusal::Stopping);
         }
         let key = envelope.home_key()?;
-        let owner = self.known.stores().owner(key.digest()).map(|store| store.disk);
-        let decides = owner == Some(self.disk) && self.knows_operations();
+        let owner = self.cluster.stores().owner(key.digest()).map(|store| store.disk);
+        let decides = owner == Some(self.disk) && self.can_decide_operations();
         (!decides).then_some(Refusal::NotOwner)
     }
 
-    /// Why a message isn't taken that could be.
-    pub(super) fn refusal_to_take(&self, envelope: &Envelope) -> Option<Refusal> {
-        if self.leaving.get() && envelope.home_key().is_none() {
+    /// Why a message can't be accepted although this store may decide about it.
+    pub(super) fn acceptance_refusal(&self, envelope: &Envelope) -> Option<Refusal> {
+        if self.draining.get() && envelope.home_key().is_none() {
             return Some(Refusal::Stopping);
         }
-        if self.has_left(&envelope.id) {
+        if self.has_relinquished(&envelope.id) {
             return Some(Refusal::NotOwner);
         }
-        if self.settled_copiers().len() < self.tolerance.copies() {
+        if self.ready_replicators().len() < self.tolerance.copies() {
             return Some(Refusal::NoCopy);
         }
-        let full = self.log.lag() > DISK_LAG || self.log.free_share() < FULL_BELOW || self.is_memory_full();
+        let full = self.log.current_batch_age() > MAX_DISK_LAG
+            || self.log.free_share() < MIN_FREE_RING_SHARE
+            || self.is_memory_full();
         full.then_some(Refusal::Full)
     }
 
     fn is_memory_full(&self) -> bool {
-        let most = (self.settings.limits.memory_mb as f64 * MEMORY_SHARE * 1_048_576.0) as usize;
-        self.queue.borrow().bytes() > most
+        let max_bytes = (self.settings.limits.memory_mb as f64 * MAX_MEMORY_SHARE * 1_048_576.0) as usize;
+        self.queue.borrow().bytes() > max_bytes
     }
 
     fn next_order(&self) -> u64 {
-        let epoch = self.known.stores().epoch << 32;
+        let epoch = self.cluster.stores().epoch << 32;
         let order = (self.last_order.get() + 1).max(epoch);
         self.last_order.set(order);
         order
     }
 
-    /// Answers an edge that hands in a message.
+    /// Answers an edge that sends a message.
     pub(super) async fn put(self: &Rc<Self>, message: Message) -> PutAnswer {
         if let Some(operation) = message.envelope.operation() {
-            return self.put_once(operation, message).await;
+            return self.put_idempotent(operation, message).await;
         }
         match self.refusal(&message.envelope) {
             Some(refusal) => PutAnswer::Refused(refusal),
-            None => self.count_and_take(message).await,
+            None => self.count_and_accept(message).await,
         }
     }
 
-    async fn count_and_take(self: &Rc<Self>, message: Message) -> PutAnswer {
-        match self.refusal_once_counted(&message).await {
+    async fn count_and_accept(self: &Rc<Self>, message: Message) -> PutAnswer {
+        match self.count_and_check(&message).await {
             Some(refusal) => PutAnswer::Refused(refusal),
-            None => self.take(message).await,
+            None => self.accept_message(message).await,
         }
     }
 
-    /// Counts a message against its tenant's quota; why it isn't to be taken after that, if it isn't.
-    pub(super) async fn refusal_once_counted(self: &Rc<Self>, message: &Message) -> Option<Refusal> {
-        self.taking.set(self.taking.get() + 1);
+    /// Counts a message against its tenant's quota; returns the reason if it can't be accepted after that.
+    pub(super) async fn count_and_check(self: &Rc<Self>, message: &Message) -> Option<Refusal> {
+        self.pending_accepts.set(self.pending_accepts.get() + 1);
         let counted = self.count(message).await;
-        self.taking.set(self.taking.get() - 1);
-        // Whether the message is this store's to take may have changed meanwhile.
+        self.pending_accepts.set(self.pending_accepts.get() - 1);
+        // Meanwhile another store may have become responsible for the message.
         counted.err().or_else(|| self.refusal(&message.envelope))
     }
 
-    /// Takes a message: it is taken once it is on this disk and on as many others as may be lost.
-    pub(super) async fn take(self: &Rc<Self>, mut message: Message) -> PutAnswer {
+    /// Accepts a message: writes it to this disk and copies it to as many other stores as the tolerance
+    /// requires.
+    pub(super) async fn accept_message(self: &Rc<Self>, mut message: Message) -> PutAnswer {
         let id = message.id().to_string();
         Rc::make_mut(&mut message.envelope).order = self.next_order();
         let entry = Entry::Message { owner: self.disk, message: message.clone() };
         if !self.queue.borrow_mut().add(message.clone()) {
             return PutAnswer::Unclear;
         }
-        self.taking.set(self.taking.get() + 1);
+        self.pending_accepts.set(self.pending_accepts.get() + 1);
         let (store, copy_id, copy_entry) = (self.clone(), id.clone(), entry.clone());
         let (done, copied) = oneshot::channel();
         runtime::spawn(async move {
-            store.copy_enough(&copy_id, &copy_entry, Store::placement_to_take).await;
+            store.ensure_copies(&copy_id, &copy_entry, Store::acceptance_placement).await;
             let _ = done.send(());
         });
         let written = self.log.write(std::slice::from_ref(&entry)).await;
         let _ = copied.await;
         if !written {
-            // Others have it, and a repeat of its operation waits for it: it is taken once the disk can be written.
-            runtime::spawn(self.clone().accept_once_written(message, entry));
+            // Other stores hold a copy, and repeats of its operation wait for it, so the write is retried
+            // until it succeeds.
+            runtime::spawn(self.clone().activate_once_written(message, entry));
             return PutAnswer::Unclear;
         }
         if self.queue.borrow().owned(&id).is_none() {
-            // Another message of its operation has come from a store that held it, and stays.
-            self.taking.set(self.taking.get() - 1);
+            // Another message of the same operation arrived from a store that held it, and takes
+            // precedence.
+            self.pending_accepts.set(self.pending_accepts.get() - 1);
             return PutAnswer::Unclear;
         }
-        runtime::spawn(self.clone().accept(message));
+        runtime::spawn(self.clone().activate(message));
         PutAnswer::Taken { id }
     }
 
-    async fn accept_once_written(self: Rc<Self>, message: Message, entry: Entry) {
+    async fn activate_once_written(self: Rc<Self>, message: Message, entry: Entry) {
         while !self.log.write(std::slice::from_ref(&entry)).await {
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
-        self.accept(message).await;
+        self.activate(message).await;
     }
 
-    /// A message is safe: it may run, unless a store that was given it before has begun with it.
-    pub async fn accept(self: Rc<Self>, message: Message) {
-        match self.ask_to_leave(&message).await {
-            Asked::Left { silent } => {
+    /// Releases an accepted message for delivery, unless another store that received it has started to
+    /// deliver it.
+    pub async fn activate(self: Rc<Self>, message: Message) {
+        match self.request_relinquish(&message).await {
+            RelinquishResponse::Relinquished { unanswered } => {
                 self.queue.borrow_mut().accept(message.id());
-                silent.into_iter().for_each(|disk| self.require_comparison(disk));
-                // What was recovered or adopted may have fewer copies than it should.
+                unanswered.into_iter().for_each(|disk| self.require_reconciliation(disk));
+                // A recovered or adopted message may lack copies.
                 if self.missing_copies(message.id(), &self.placement()) > 0 {
                     self.needs_repair.set(true);
                 }
             }
-            Asked::Begun => self.leave_to_others(vec![message.id().to_string()], LeftBecause::Begun),
+            RelinquishResponse::Started => {
+                self.relinquish(vec![message.id().to_string()], RelinquishReason::StartedElsewhere)
+            }
         }
-        self.taking.set(self.taking.get() - 1);
-        self.reservations.look_again();
-        self.work.notify();
+        self.pending_accepts.set(self.pending_accepts.get() - 1);
+        self.reservations.notify_changed();
+        self.delivery_wake.notify();
     }
 }
--- a/crates/node/src/store/log.rs
+++ b/crates/node/src/store/log.rs
@@ -1,4 +1,5 @@
-//! The store's log: records go to the ring of files in batches, by a thread that may wait for the disk.
+//! The store's log: records are written in batches to a ring of files, by a separate thread that may block
+//! on the disk.
 use futures_channel::oneshot;
 use net::runtime;
 use net::wake::Notify;
@@ -11,48 +12,50 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Bytes of one file of the ring.
+/// Size of one ring file.
 const SEGMENT_BYTES: usize = 4 * 1024 * 1024;
-/// Share of the disk that the ring takes.
+/// Share of the disk that the ring may use.
 const DISK_SHARE: f64 = 0.6;
-/// Files of the ring, at least.
-const FEWEST_SEGMENTS: usize = 8;
-/// After a failure of the disk.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Minimum number of ring files.
+const MIN_SEGMENTS: usize = 8;
+/// Delay after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a log asks of its disk.
-pub enum Job {
-    /// Append records, and tell when they last.
-    Append(Vec<Vec<u8>>, oneshot::Sender<Result<Done, RingError>>),
-    /// Begin every file with this record from now on.
-    BeginWith(Vec<u8>),
-    /// Nothing in this file counts any more, if it is the oldest.
+/// Work for the disk thread.
+pub enum DiskJob {
+    /// Append records, and report when they are durable.
+    Append(Vec<Vec<u8>>, oneshot::Sender<Result<Appended, RingError>>),
+    /// Start every new file with this record.
+    SetPreamble(Vec<u8>),
+    /// Free this file, if it is the oldest: it holds no live record any more.
     Release(SegmentId),
 }
 
-/// Records were appended, and last.
-pub struct Done {
-    /// In which file each stands.
-    places: Vec<SegmentId>,
+/// Result of an append: the records are durable.
+pub struct Appended {
+    /// The file of each record.
+    segment_ids: Vec<SegmentId>,
     free: usize,
     oldest: Option<SegmentId>,
 }
 
-/// What carries out the jobs of a log, one after the other.
+/// Executes the jobs of a log, one after the other.
 pub trait Disk {
-    fn submit(&self, job: Job);
+    /// Queues a job; never blocks.
+    fn submit(&self, job: DiskJob);
 }
 
-impl Disk for mpsc::Sender<Job> {
-    fn submit(&self, job: Job) {
-        // If the thread is gone, nobody answers: the log takes that for a failure.
+impl Disk for mpsc::Sender<DiskJob> {
+    fn submit(&self, job: DiskJob) {
+        // If the thread is gone, nobody answers, and the log treats that as a failed write.
         let _ = self.send(job);
     }
 }
 
-/// What was found on a disk at an opening.
-pub struct Found {
-    places: BTreeMap<SegmentId, BTreeSet<String>>,
+/// State of the log that was found when it was opened.
+pub struct RecoveredLog {
+    /// Ids of the messages that have records in each file.
+    message_ids: BTreeMap<SegmentId, BTreeSet<String>>,
     shape: Shape,
     free: usize,
     oldest: Option<SegmentId>,
@@ -69,34 +72,33 @@
     waiting: RefCell<Vec<oneshot::Sender<bool>>>,
     wake: Notify,
     disk: Rc<dyn Disk>,
-    /// Whose records stand in which file.
-    places: RefCell<BTreeMap<SegmentId, BTreeSet<String>>>,
+    /// Ids of the messages that have records in each file.
+    message_ids: RefCell<BTreeMap<SegmentId, BTreeSet<String>>>,
     shape: Shape,
     free: Cell<usize>,
     oldest: Cell<Option<SegmentId>>,
-    /// Since when a batch is being written.
-    writing_since: Cell<Option<Instant>>,
+    /// When the batch in progress was handed to the disk.
+    batch_started_at: Cell<Option<Instant>>,
 }
 
-/// The ring's shape on a disk of so many megabytes.
-pub fn shape(disk_mb: f64) -> Shape {
+/// Shape of the ring for a disk of this size.
+pub fn ring_shape(disk_mb: f64) -> Shape {
     let segments = (disk_mb * DISK_SHARE * 1_048_576.0) as usize / SEGMENT_BYTES;
-    Shape { segments: segments.max(FEWEST_SEGMENTS), segment_bytes: SEGMENT_BYTES }
+    Shape { segments: segments.max(MIN_SEGMENTS), segment_bytes: SEGMENT_BYTES }
 }
 
-/// Whose record an entry is: a message's, or with an empty id the disk's.
-fn id_of(entry: &Entry) -> &str {
+/// Id of the message that a record belongs to; empty for records of the disk itself.
+fn message_id_of(entry: &Entry) -> &str {
     entry.id().unwrap_or_default()
 }
 
 /// Why a log can't be opened.
 #[derive(Debug)]
 pub enum OpenError {
+    /// The ring can't be opened.
     Ring(RingError),
-    /// Whole records that are none of this version.
-    Unreadable {
-        records: usize,
-    },
+    /// Complete records that this version can't decode.
+    Unreadable { records: usize },
 }
 
 impl std::fmt::Display for OpenError {
@@ -105,8 +107,8 @@
             OpenError::Ring(error) => error.fmt(f),
             OpenError::Unreadable { records } => write!(
                 f,
-                "{records} records of the log are none of this version; start the version that wrote them, \
-                 and let its messages end before the change"
+                "{records} records of the log can't be decoded by this version; start the version that wrote \
+                 them, and let its messages finish before the upgrade"
             ),
         }
     }
@@ -120,18 +122,18 @@
     }
 }
 
-/// Opens the ring in its files; `visit` is given each record, oldest first. A record that can't be read is an error: what
-/// it says of a message would be left out without a word.
-pub fn read<F: Files>(
+/// Opens the ring and passes each record to `visit`, oldest first. An undecodable record is an error, since
+/// skipping it would silently lose its information about a message.
+pub fn open_ring<F: Files>(
     files: F,
     shape: Shape,
     visit: &mut dyn FnMut(Entry),
-) -> Result<(Ring<F>, Found), OpenError> {
-    let mut places: BTreeMap<SegmentId, BTreeSet<String>> = BTreeMap::new();
+) -> Result<(Ring<F>, RecoveredLog), OpenError> {
+    let mut message_ids: BTreeMap<SegmentId, BTreeSet<String>> = BTreeMap::new();
     let mut unreadable = 0;
     let mut read = |segment: SegmentId, record: Record| match borsh::from_slice::<Entry>(&record.payload) {
         Ok(entry) => {
-            places.entry(segment).or_default().insert(id_of(&entry).to_string());
+            message_ids.entry(segment).or_default().insert(message_id_of(&entry).to_string());
             visit(entry);
         }
         Err(_) => unreadable += 1,
@@ -140,37 +142,39 @@
     if unreadable > 0 {
         return Err(OpenError::Unreadable { records: unreadable });
     }
-    let found = Found { places, shape, free: ring.free(), oldest: ring.oldest() };
-    Ok((ring, found))
+    let recovered = RecoveredLog { message_ids, shape, free: ring.free(), oldest: ring.oldest() };
+    Ok((ring, recovered))
 }
 
 impl Log {
-    /// Opens the log in a folder, with a thread of its own that writes; `visit` is given each record, oldest first.
+    /// Opens the log in a folder and starts its disk thread; passes each record to `visit`, oldest first.
     pub fn open(folder: &Path, shape: Shape, visit: &mut dyn FnMut(Entry)) -> anyhow::Result<Rc<Log>> {
-        let (ring, found) = read(Folder::new(folder), shape, visit)?;
-        let (jobs, taken) = mpsc::channel();
-        std::thread::Builder::new().name("disk".to_string()).spawn(move || work(ring, taken))?;
-        Ok(Log::on(Rc::new(jobs), found))
+        let (ring, recovered) = open_ring(Folder::new(folder), shape, visit)?;
+        let (job_sender, job_receiver) = mpsc::channel();
+        std::thread::Builder::new()
+            .name("disk".to_string())
+            .spawn(move || run_disk_thread(ring, job_receiver))?;
+        Ok(Log::with_disk(Rc::new(job_sender), recovered))
     }
 
-    /// The log on a disk that was read.
-    pub fn on(disk: Rc<dyn Disk>, found: Found) -> Rc<Log> {
+    /// The log on a disk that has been opened.
+    pub fn with_disk(disk: Rc<dyn Disk>, recovered: RecoveredLog) -> Rc<Log> {
         let log = Rc::new(Log {
             pending: RefCell::default(),
             waiting: RefCell::default(),
             wake: Notify::default(),
             disk,
-            places: RefCell::new(found.places),
-            shape: found.shape,
-            free: Cell::new(found.free),
-            oldest: Cell::new(found.oldest),
-            writing_since: Cell::new(None),
+            message_ids: RefCell::new(recovered.message_ids),
+            shape: recovered.shape,
+            free: Cell::new(recovered.free),
+            oldest: Cell::new(recovered.oldest),
+            batch_started_at: Cell::new(None),
         });
         runtime::spawn(log.clone().write_batches());
         log
     }
 
-    /// Appends records, and waits until they last; false if the disk failed.
+    /// Appends records and waits until they are durable; false if the disk failed.
     pub async fn write(&self, entries: &[Entry]) -> bool {
         entries.iter().for_each(|entry| self.push(entry));
         let (sender, receiver) = oneshot::channel();
@@ -179,45 +183,45 @@
         receiver.await.unwrap_or(false)
     }
 
-    /// Begins every file with a record from now on, so that a start reads it before all that is left.
-    pub fn begin_files_with(&self, entry: &Entry) {
-        self.disk.submit(Job::BeginWith(borsh::to_vec(entry).expect("writing to memory")));
+    /// Starts every new file with a record, so that recovery reads it first whichever files remain.
+    pub fn set_preamble(&self, entry: &Entry) {
+        self.disk.submit(DiskJob::SetPreamble(borsh::to_vec(entry).expect("writing to memory")));
     }
 
-    /// Appends a record; it lasts soon.
-    pub fn note(&self, entry: &Entry) {
+    /// Appends a record without waiting until it is durable.
+    pub fn write_later(&self, entry: &Entry) {
         self.push(entry);
         self.wake.notify();
     }
 
     fn push(&self, entry: &Entry) {
         let payload = borsh::to_vec(entry).expect("writing to memory");
-        self.pending.borrow_mut().push(Pending { id: id_of(entry).to_string(), payload });
+        self.pending.borrow_mut().push(Pending { id: message_id_of(entry).to_string(), payload });
     }
 
-    /// How long the disk has been at work on one batch.
-    pub fn lag(&self) -> Duration {
-        self.writing_since.get().map_or(Duration::ZERO, runtime::elapsed)
+    /// How long the disk has been working on the current batch.
+    pub fn current_batch_age(&self) -> Duration {
+        self.batch_started_at.get().map_or(Duration::ZERO, runtime::elapsed)
     }
 
-    /// The share of the ring's files that are free.
+    /// Share of ring files that are free.
     pub fn free_share(&self) -> f64 {
         self.free.get() as f64 / self.shape.segments as f64
     }
 
-    /// The oldest file, and whose records stand in it.
+    /// The oldest file, and the ids of the messages that have records in it.
     pub fn oldest(&self) -> Option<(SegmentId, Vec<String>)> {
         let oldest = self.oldest.get()?;
-        let places = self.places.borrow();
-        Some((oldest, places.get(&oldest).into_iter().flatten().cloned().collect()))
+        let message_ids = self.message_ids.borrow();
+        Some((oldest, message_ids.get(&oldest).into_iter().flatten().cloned().collect()))
     }
 
-    /// Nothing that counts stands in this file any more, which is the oldest. Which one is the oldest then is known with the
-    /// next records that are written.
+    /// Frees the oldest file, which holds no live record any more. The new oldest file is known after the
+    /// next write.
     pub fn release(&self, segment: SegmentId) {
-        self.places.borrow_mut().remove(&segment);
+        self.message_ids.borrow_mut().remove(&segment);
         self.oldest.set(None);
-        self.disk.submit(Job::Release(segment));
+        self.disk.submit(DiskJob::Release(segment));
     }
 
     async fn write_batches(self: Rc<Self>) {
@@ -234,29 +238,29 @@
                 let _ = waiter.send(written);
             }
             if !written {
-                runtime::sleep(PAUSE).await;
+                runtime::sleep(RETRY_DELAY).await;
             }
         }
     }
 
     async fn write_batch(&self, ids: Vec<String>, payloads: Vec<Vec<u8>>) -> bool {
         let (sender, receiver) = oneshot::channel();
-        self.writing_since.set(Some(runtime::now()));
-        self.disk.submit(Job::Append(payloads, sender));
-        let done = receiver.await;
-        self.writing_since.set(None);
-        match done {
-            Ok(Ok(done)) => {
-                let mut places = self.places.borrow_mut();
-                for (id, segment) in ids.into_iter().zip(done.places) {
-                    places.entry(segment).or_default().insert(id);
+        self.batch_started_at.set(Some(runtime::now()));
+        self.disk.submit(DiskJob::Append(payloads, sender));
+        let result = receiver.await;
+        self.batch_started_at.set(None);
+        match result {
+            Ok(Ok(appended)) => {
+                let mut message_ids = self.message_ids.borrow_mut();
+                for (id, segment) in ids.into_iter().zip(appended.segment_ids) {
+                    message_ids.entry(segment).or_default().insert(id);
                 }
-                self.free.set(done.free);
-                self.oldest.set(done.oldest);
+                self.free.set(appended.free);
+                self.oldest.set(appended.oldest);
                 true
             }
             Ok(Err(error)) => {
-                log::error!("the log cannot be written: {error}");
+                log::error!("writing to the log failed: {error}");
                 false
             }
             Err(_) => false,
@@ -264,23 +268,25 @@
     }
 }
 
-/// The disk's thread.
-fn work(mut ring: Ring, jobs: mpsc::Receiver<Job>) {
-    while let Ok(job) = jobs.recv() {
-        carry_out(&mut ring, job);
+/// Main loop of the disk thread.
+fn run_disk_thread(mut ring: Ring, job_receiver: mpsc::Receiver<DiskJob>) {
+    while let Ok(job) = job_receiver.recv() {
+        execute(&mut ring, job);
     }
 }
 
-/// Carries out one job on a ring.
-pub fn carry_out<F: Files>(ring: &mut Ring<F>, job: Job) {
+/// Executes one job on a ring.
+pub fn execute<F: Files>(ring: &mut Ring<F>, job: DiskJob) {
     match job {
-        Job::Append(payloads, done) => {
-            let written = ring.append(&payloads).and_then(|places| ring.sync().map(|()| places));
+        DiskJob::Append(payloads, done) => {
+            let written = ring.append(&payloads).and_then(|segment_ids| ring.sync().map(|()| segment_ids));
             let (free, oldest) = (ring.free(), ring.oldest());
-            let _ = done.send(written.map(|places| Done { places, free, oldest }));
+            let _ = done.send(written.map(|segment_ids| Appended { segment_ids, free, oldest }));
+        }
+        DiskJob::SetPreamble(record) => ring.set_preamble(record),
+        DiskJob::Release(segment) if ring.oldest() == Some(segment) => ring.release_oldest(),
+        DiskJob::Release(segment) => {
+            log::warn!("file {segment} isn't the oldest of the ring and is not freed")
         }
-        Job::BeginWith(record) => ring.set_preamble(record),
-        Job::Release(segment) if ring.oldest() == Some(segment) => ring.release_oldest(),
-        Job::Release(segment) => log::warn!("file {segment} isn't the oldest of the ring: it stays"),
     }
 }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -1,49 +1,49 @@
-//! The store role: keeps messages on its disk and at another store, and delivers those that it owns.
+//! The store role: keeps messages on its own disk and on other stores, and delivers the messages it owns.
 //!
-//! | module | what it is |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`log`](mod@log) | records to the ring of files, by a thread of their own |
-//! | [`bodies`] | damaged bodies are replaced by those of other stores |
-//! | [`intake`] | messages are taken |
-//! | `operations` | requests with one operation key are one message |
-//! | `following` | what follows from each view of the stores |
-//! | `compaction` | the oldest files of the log are written anew |
-//! | [`copies`] | copies of each message at other stores |
-//! | [`ended`] | copies of messages that have ended and of which something is owed |
-//! | [`copier`] | the way to one other store: what it holds, and what it is told |
-//! | [`races`] | messages that an edge gave to several stores |
-//! | [`decided`] | what others know of a message before it is run in another store's place |
-//! | [`preserve`] | copies of what an absent store owned are made whole by those that hold them |
-//! | [`peers`] | what other members ask |
-//! | [`leaving`] | planned stops, retirement, and the return of a store that was given up |
-//! | [`takeover`] | what a lost store owned; ends of messages |
-//! | [`quota`] | messages are counted against their tenants' quotas |
-//! | [`quota_calls`] | calls to the stores that count, in batches |
-//! | [`rates`] | shares of the rates of services, and what stores lend each other |
-//! | [`endpoints`] | caps, doubts and choice of endpoints |
-//! | [`deliver`] | messages to endpoints |
-//! | [`callbacks`] | call-backs about ends |
-pub mod bodies;
+//! | [`log`](mod@log) | writes records to the ring of log files on a separate thread |
+//! | `compaction` | rewrites live records of the oldest log file so that the file can be freed |
+//! | [`intake`] | accepts messages from edges |
+//! | `operations` | deduplicates requests with the same operation key |
+//! | [`relinquish`](mod@relinquish) | decides which store keeps a message that an edge sent to several stores |
+//! | [`copies`] | keeps enough copies of each unfinished message on other stores |
+//! | [`finished_copies`] | keeps enough copies of finished messages that still owe something |
+//! | [`replicator`] | sends records to one other store and compares what it holds |
+//! | [`ownership`] | asks other stores whether a message is already owned or finished |
+//! | [`absent_owners`] | restores the copies of messages whose owner is unavailable |
+//! | [`body_repair`] | replaces damaged bodies with those of other stores |
+//! | `view_changes` | reacts to each new view of the stores |
+//! | [`takeover`] | takes over the messages of a lost store; finishes messages |
+//! | [`shutdown`] | planned stops, retirement, and the return of a store that was declared lost |
+//! | [`rpc_handlers`] | answers the calls of other members |
+//! | [`quota`] | counts messages against the quotas of their tenants |
+//! | [`quota_calls`] | batches the calls to the stores that count for a tenant |
+//! | [`rates`] | divides the rate limits of services among the stores, with lending |
+//! | [`endpoints`] | concurrency limits, backoff and choice of endpoints |
+//! | [`deliver`] | delivers messages to endpoints |
+//! | [`callbacks`] | sends call-backs for finished messages |
+pub mod absent_owners;
+pub mod body_repair;
 pub mod callbacks;
 mod compaction;
-pub mod copier;
 pub mod copies;
-pub mod decided;
 pub mod deliver;
-pub mod ended;
 pub mod endpoints;
-mod following;
+pub mod finished_copies;
 pub mod intake;
-pub mod leaving;
 pub mod log;
 mod operations;
-pub mod peers;
-pub mod preserve;
+pub mod ownership;
 pub mod quota;
 pub mod quota_calls;
-pub mod races;
 pub mod rates;
+pub mod relinquish;
+pub mod replicator;
+pub mod rpc_handlers;
+pub mod shutdown;
 pub mod takeover;
+mod view_changes;
 
 use crate::calls::{Custody, Hello, Role};
 use crate::process::{self, stopped, Clock, Process};
@@ -64,134 +64,156 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often repairs and the ring are looked after.
-const CARE: Duration = Duration::from_millis(200);
-/// How long recovered messages wait to hear whether others took them, in milliseconds.
-const RECOVERED_WAIT: u64 = 1_200;
-/// So many messages at most can have been given their order, and sent to other stores, by an earlier process whose disk
-/// has no record of them.
-const ORDERS_NOT_SYNCED: u64 = 1 << 16;
-/// What is left of the grace when the process ends at the latest.
-const RESERVE_S: f64 = 0.9;
+/// Interval of the periodic checks of copies and free log files.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// How long recovered messages are held back at most while other stores report whether they accepted them.
+const RECOVERY_HOLD_MS: u64 = 1_200;
+/// Upper bound on the order numbers that an earlier process may have assigned and sent to other stores
+/// without a record of them on its disk.
+const MAX_UNSYNCED_ORDERS: u64 = 1 << 16;
+/// Part of the shutdown grace period that is reserved for the end of the process.
+const SHUTDOWN_RESERVE_S: f64 = 0.9;
 
 /// One store process.
 pub struct Store {
     pub settings: ProcessSettings,
+    /// Monotonic clock of the process.
     pub clock: Clock,
+    /// Start of the process on that clock, in milliseconds.
     pub started: u64,
-    /// The identity of its disk.
+    /// Identity of this store's disk.
     pub disk: u64,
+    /// Port on which stores call each other.
     pub port: u16,
-    pub known: Rc<Known>,
+    /// Configuration, view of the stores and endpoints as reported by the control group.
+    pub cluster: Rc<Known>,
+    /// Calls to other members.
     pub peers: Rc<Peers>,
+    /// Log on this store's disk.
     pub log: Rc<log::Log>,
+    /// Own messages, and copies held for other stores.
     pub queue: RefCell<Queue>,
-    /// Messages that had not ended by what was read from the disk at the start.
+    /// Messages that were unfinished according to the disk at start.
     recovered: RefCell<BTreeSet<String>>,
-    /// Recovered messages that other stores were given too, until they are looked after.
-    raced: RefCell<Vec<Message>>,
-    pub copiers: RefCell<BTreeMap<u64, Rc<copier::Copier>>>,
-    /// For each owner the session in which its records are taken.
+    /// Recovered messages that an edge also sent to other stores, until they are resolved.
+    recovered_also_sent: RefCell<Vec<Message>>,
+    /// Replication to each other store, by disk.
+    pub replicators: RefCell<BTreeMap<u64, Rc<replicator::Replicator>>>,
+    /// For each owner, the session whose records are accepted.
     sessions: RefCell<BTreeMap<u64, u64>>,
+    /// Endpoints of the deliveries.
     pub endpoints: RefCell<endpoints::Endpoints>,
+    /// Rate limit permits, by service.
     pub buckets: RefCell<BTreeMap<String, rates::Bucket>>,
-    /// Counts messages against tenants' quotas.
-    pub counting: quota::Counting,
+    /// Counts messages against the quotas of tenants.
+    pub quotas: quota::QuotaState,
+    /// HTTP client for deliveries.
     pub client: Client,
+    /// Call-backs that are owed.
     pub callbacks: callbacks::Callbacks,
-    /// Wakes the delivery sender.
-    pub work: Notify,
-    /// Wakes the care for copies before its time.
-    pub cared: Notify,
-    /// Deliveries under way.
-    pub running: Cell<usize>,
-    /// Messages that are being taken.
-    pub taking: Cell<usize>,
-    /// Operations whose requests are being decided.
+    /// Wakes the delivery loop.
+    pub delivery_wake: Notify,
+    /// Wakes the maintenance loop before its interval is over.
+    pub maintenance_wake: Notify,
+    /// Number of deliveries in progress.
+    pub running_deliveries: Cell<usize>,
+    /// Number of messages that are being accepted.
+    pub pending_accepts: Cell<usize>,
+    /// Operations with a request in progress.
     pub reservations: operations::Reservations,
-    /// Bytes of messages that are owned and not ended, about.
-    pub turn: Cell<usize>,
+    /// Round-robin counter for choosing other stores.
+    pub next_turn: Cell<usize>,
+    /// Some messages may lack copies.
     pub needs_repair: Cell<bool>,
-    /// Where this store stands.
+    /// Location of this store.
     pub location: Location,
-    /// What may be lost at once.
+    /// Failures that the stores must tolerate.
     pub tolerance: Tolerance,
-    /// Lost stores that are being taken over from, and those that were.
-    pub inheriting: RefCell<BTreeMap<u64, takeover::Inheriting>>,
-    pub inherited: RefCell<BTreeSet<u64>>,
-    /// Messages that are being copied again.
+    /// Takeovers in progress by lost store, and lost stores whose takeover is done.
+    pub takeovers: RefCell<BTreeMap<u64, takeover::TakeoverStep>>,
+    pub taken_over: RefCell<BTreeSet<u64>>,
+    /// Messages whose copies are being restored.
     pub repairing: RefCell<BTreeSet<String>>,
-    /// Messages that have ended are being copied again.
-    copying_ended: Cell<bool>,
-    /// Who is away, and whose copies are made whole because of it.
+    /// Whether finished messages are being copied.
+    copying_finished: Cell<bool>,
+    /// Unavailable stores, and whether the copies of their messages have been restored.
     pub absences: RefCell<queue::custody::Absences>,
-    /// The epoch of the stores' view by which this store acts.
-    epoch: Cell<u64>,
-    /// It is to be taken away; it does nothing any more that others don't know of.
+    /// Epoch of the last view of the stores that this store has applied.
+    view_epoch: Cell<u64>,
+    /// This store is being retired.
     retiring: Cell<bool>,
-    idle: Cell<bool>,
-    /// It was given up, and gives back what may be nowhere else.
-    given_up: Cell<bool>,
-    /// Messages that other stores have taken, and that may still come here; with the time at which they said so.
-    not_wanted: RefCell<HashMap<String, u64>>,
-    /// Messages of which others were told that they were taken here.
-    promised: RefCell<HashMap<String, races::Promise>>,
-    /// Messages that other stores have asked for, until one has confirmed that it has them.
-    asked_for: RefCell<BTreeMap<String, BTreeSet<u64>>>,
-    /// Until then, or until all copies are known, messages that were recovered and may be elsewhere wait.
-    pub recovered_until: Cell<u64>,
-    /// About to stop: only ordered messages go on.
-    pub leaving: Cell<bool>,
-    /// Nothing is delivered or taken any more.
+    /// Retirement is complete: this store does nothing any more that other stores don't know of.
+    retirement_ready: Cell<bool>,
+    /// This store was declared lost and hands back messages that may exist nowhere else.
+    declared_lost: Cell<bool>,
+    /// Messages left to other stores that may still arrive here, with the time at which they were
+    /// relinquished.
+    relinquished: RefCell<HashMap<String, u64>>,
+    /// Messages that this store has reported to other stores as accepted here.
+    acceptance_notices: RefCell<HashMap<String, relinquish::AcceptanceNotice>>,
+    /// Messages that other stores have asked this store to relinquish, with the requesters, until one of
+    /// them confirms that it owns the message.
+    relinquish_requests: RefCell<BTreeMap<String, BTreeSet<u64>>>,
+    /// Recovered messages that may also be elsewhere are held back until this time, or until all
+    /// replicators are ready.
+    pub recovery_hold_until_ms: Cell<u64>,
+    /// A stop is planned: only messages bound to this store by a key continue.
+    pub draining: Cell<bool>,
+    /// No message is accepted or delivered any more.
     pub paused: Cell<bool>,
-    /// The last records are written: nothing is kept any more.
-    closing: Cell<bool>,
+    /// The last records are written: no record is accepted any more.
+    log_closed: Cell<bool>,
+    /// Last order number that was assigned.
     last_order: Cell<u64>,
 }
 
-/// Starts the role.
+/// Starts the store role.
 pub fn start() -> anyhow::Result<()> {
     process::run(run)
 }
 
 async fn run(process: Process) -> anyhow::Result<()> {
-    let folder = process.settings.data_dir.clone().context("DataDir is missing; give the store a disk")?;
+    let folder = process
+        .settings
+        .data_dir
+        .clone()
+        .context("the setting DataDir is missing; set it to a folder on the store's disk")?;
     let mut queue = Queue::default();
-    let shape = log::shape(process.settings.limits.disk_mb);
+    let shape = log::ring_shape(process.settings.limits.disk_mb);
     let log = log::Log::open(Path::new(&folder), shape, &mut |entry| queue.recover(entry))?;
-    let surroundings = Surroundings {
+    let clients = StoreClients {
         peers: Peers::default(),
         endpoints: Client::counted_as("deliveries"),
         receivers: Client::counted_as("call-backs"),
     };
-    let store = Store::open(&process, queue, log, surroundings).await?;
+    let store = Store::open(&process, queue, log, clients).await?;
     let listener = TcpListener::bind(SocketAddr::new(store.settings.own_ip(), store.port))
-        .context("the members' port is taken; free it")?;
-    let answering = store.clone();
+        .context("the members' port is in use; free it")?;
+    let handler_store = store.clone();
     runtime::spawn(serve(
         listener,
-        Rc::new(move |from, bytes| Box::pin(answering.clone().answer(from, bytes))),
+        Rc::new(move |from, bytes| Box::pin(handler_store.clone().answer(from, bytes))),
     ));
     store.serve(&process.stopping).await;
     Ok(())
 }
 
-/// How a store reaches what is around it.
-pub struct Surroundings {
-    /// Other members.
+/// Transports to other members, endpoints and call-back receivers.
+pub struct StoreClients {
+    /// Calls to other members.
     pub peers: Peers,
-    /// Endpoints, and receivers of call-backs.
+    /// HTTP clients for endpoints and call-back receivers.
     pub endpoints: Client,
     pub receivers: Client,
 }
 
 impl Store {
-    /// A store that begins with what is on its disk: the queue as it was folded from the log.
+    /// Opens a store from the queue that was rebuilt from the log on its disk.
     pub async fn open(
         process: &Process,
         mut queue: Queue,
         log: Rc<log::Log>,
-        surroundings: Surroundings,
+        clients: StoreClients,
     ) -> anyhow::Result<Rc<Store>> {
         let is_new = queue.disk() == 0;
         if is_new {
@@ -202,99 +224,100 @@
             );
             queue.recover(Entry::Disk(disk));
         }
-        // Whose messages the others are is known by it: it is read first.
-        log.begin_files_with(&Entry::Disk(queue.disk()));
+        // The disk identity tells own messages from copies, so it must be the first record that recovery
+        // reads.
+        log.set_preamble(&Entry::Disk(queue.disk()));
         let superseded = queue.settle_operations();
-        let raced = queue.recovered();
+        let recovered_also_sent = queue.recovered();
         let live = queue.all_owned().filter(|owned| owned.is_live());
         let recovered = live.map(|owned| owned.id().to_string()).collect();
         let started = process.clock.ms();
-        let left = queue.take_left().into_iter().map(|id| (id, started)).collect();
+        let relinquished = queue.take_left().into_iter().map(|id| (id, started)).collect();
         let taken_over = queue.taken_over().clone();
         let settings = process.settings.clone();
         let store = Rc::new(Store {
             clock: process.clock,
             started,
             disk: queue.disk(),
-            counting: quota::Counting::new(queue.disk(), !is_new),
+            quotas: quota::QuotaState::new(queue.disk(), !is_new),
             port: settings.store_port(),
-            known: Known::new(settings.seed_ips()),
-            peers: Rc::new(surroundings.peers),
+            cluster: Known::new(settings.seed_ips()),
+            peers: Rc::new(clients.peers),
             log,
-            last_order: Cell::new(queue.highest_order() + ORDERS_NOT_SYNCED),
+            last_order: Cell::new(queue.highest_order() + MAX_UNSYNCED_ORDERS),
             queue: RefCell::new(queue),
             recovered: RefCell::new(recovered),
-            raced: RefCell::new(raced),
-            copiers: RefCell::default(),
+            recovered_also_sent: RefCell::new(recovered_also_sent),
+            replicators: RefCell::default(),
             sessions: RefCell::default(),
             endpoints: RefCell::default(),
             buckets: RefCell::default(),
-            client: surroundings.endpoints,
-            callbacks: callbacks::Callbacks::new(surroundings.receivers),
-            work: Notify::default(),
-            cared: Notify::default(),
-            running: Cell::new(0),
-            taking: Cell::new(0),
+            client: clients.endpoints,
+            callbacks: callbacks::Callbacks::new(clients.receivers),
+            delivery_wake: Notify::default(),
+            maintenance_wake: Notify::default(),
+            running_deliveries: Cell::new(0),
+            pending_accepts: Cell::new(0),
             reservations: operations::Reservations::default(),
-            turn: Cell::new(0),
+            next_turn: Cell::new(0),
             needs_repair: Cell::new(true),
             location: settings.location(),
             tolerance: settings.tolerance(),
-            inheriting: RefCell::default(),
-            inherited: RefCell::new(taken_over),
+            takeovers: RefCell::default(),
+            taken_over: RefCell::new(taken_over),
             repairing: RefCell::default(),
-            copying_ended: Cell::new(false),
+            copying_finished: Cell::new(false),
             absences: RefCell::default(),
-            recovered_until: Cell::new(process.clock.ms() + RECOVERED_WAIT),
-            epoch: Cell::new(0),
+            recovery_hold_until_ms: Cell::new(process.clock.ms() + RECOVERY_HOLD_MS),
+            view_epoch: Cell::new(0),
             retiring: Cell::new(false),
-            idle: Cell::new(false),
-            given_up: Cell::new(false),
-            not_wanted: RefCell::new(left),
-            promised: RefCell::default(),
-            asked_for: RefCell::default(),
-            leaving: Cell::new(false),
+            retirement_ready: Cell::new(false),
+            declared_lost: Cell::new(false),
+            relinquished: RefCell::new(relinquished),
+            acceptance_notices: RefCell::default(),
+            relinquish_requests: RefCell::default(),
+            draining: Cell::new(false),
             paused: Cell::new(false),
-            closing: Cell::new(false),
+            log_closed: Cell::new(false),
             settings,
         });
         store.record_superseded(superseded);
         let queue::Counts { waiting, ended, replicas, .. } = store.queue.borrow().counts();
         ::log::info!(
-            "disk {:016x}: {waiting} messages waiting, {ended} ended, {replicas} copies",
+            "disk {:016x}: {waiting} messages waiting, {ended} finished, {replicas} copies",
             store.disk
         );
         Ok(store)
     }
 
-    /// Runs until the process is told to stop, and has stopped.
+    /// Runs until the process is asked to stop and the planned stop is complete.
     pub async fn serve(self: Rc<Self>, stopping: &Cell<bool>) {
-        let telling = self.clone();
+        let announcing = self.clone();
         runtime::spawn(watch(
-            self.known.clone(),
+            self.cluster.clone(),
             self.peers.clone(),
-            move || telling.hello(),
+            move || announcing.hello(),
             self.settings.control_port(),
             self.settings.seed_ips(),
         ));
-        runtime::spawn(self.clone().follow_stores());
-        runtime::spawn(self.clone().follow_counters());
-        runtime::spawn(self.clone().care());
+        runtime::spawn(self.clone().follow_store_view());
+        runtime::spawn(self.clone().follow_membership());
+        runtime::spawn(self.clone().run_maintenance());
         runtime::spawn(self.clone().log_traffic());
         runtime::spawn(deliver::deliver(self.clone()));
-        runtime::spawn(self.clone().accept_raced(self.raced.take()));
-        self.owed_callbacks();
+        runtime::spawn(self.clone().activate_recovered(self.recovered_also_sent.take()));
+        self.resume_callbacks();
         stopped(stopping).await;
-        self.leave().await;
+        self.shut_down().await;
     }
 
     fn hello(&self) -> Hello {
-        let inherited = self.inherited.borrow().iter().copied().collect();
+        let inherited = self.taken_over.borrow().iter().copied().collect();
         let custody = Custody {
-            epoch: self.epoch.get(),
-            whole: self.is_whole(),
-            idle: self.idle.get(),
-            leaving: self.leaving.get() && !self.retiring.get(),
+            epoch: self.view_epoch.get(),
+            whole: self.is_fully_replicated(),
+            idle: self.retirement_ready.get(),
+            leaving: self.draining.get() && !self.retiring.get(),
             inherited,
         };
         Hello {
@@ -307,17 +330,17 @@
         }
     }
 
-    /// Every message that has not ended is at another active store too.
-    fn is_whole(&self) -> bool {
-        let settled = self.copiers.borrow().values().all(|copier| copier.is_settled());
+    /// Whether every message has all its copies on other available stores.
+    fn is_fully_replicated(&self) -> bool {
+        let settled = self.replicators.borrow().values().all(|replicator| replicator.is_ready());
         settled && !self.needs_repair.get() && !self.lacks_copies()
     }
 
-    async fn care(self: Rc<Self>) {
+    async fn run_maintenance(self: Rc<Self>) {
         loop {
-            let _ = runtime::timeout(CARE, self.cared.notified()).await;
-            self.look_for_absences();
-            self.forget_not_wanted();
+            let _ = runtime::timeout(MAINTENANCE_INTERVAL, self.maintenance_wake.notified()).await;
+            self.check_absences();
+            self.expire_relinquished();
             if self.needs_repair.get() {
                 self.repair().await;
             }
@@ -332,9 +355,9 @@
         }
     }
 
-    /// What this store has sent since it started, by purpose and distance.
+    /// Bytes that this store has sent since its start, by purpose and distance.
     pub(super) fn traffic(&self) -> traffic::Traffic {
-        let (view, endpoints) = (self.known.stores(), self.endpoints.borrow());
+        let (view, endpoints) = (self.cluster.stores(), self.endpoints.borrow());
         let distance = |ip: IpAddr| {
             let store = view.stores.iter().find(|store| store.ip == ip);
             let store = store.map(|store| self.location.distance(&store.location));
@@ -344,11 +367,11 @@
         traffic::add_up(&meters, distance)
     }
 
-    fn forget_not_wanted(&self) {
+    fn expire_relinquished(&self) {
         let ttl = (self.settings.bounds.status_ttl_s * 1_000.0) as u64;
         let now = self.clock.ms();
-        self.not_wanted.borrow_mut().retain(|_, at| now < *at + ttl);
-        self.promised.borrow_mut().retain(|_, promise| now < promise.at + ttl);
+        self.relinquished.borrow_mut().retain(|_, at| now < *at + ttl);
+        self.acceptance_notices.borrow_mut().retain(|_, notice| now < notice.at + ttl);
     }
 }
 
@@ -356,8 +379,8 @@
     borsh::to_vec(answer).expect("writing to memory")
 }
 
-/// How many ids, and the first of them, for the log.
-pub fn some_of(ids: &[String]) -> String {
+/// Formats the number of ids and the first few of them for a log line.
+pub fn summarize_ids(ids: &[String]) -> String {
     const SHOWN: usize = 5;
     let first = ids.iter().take(SHOWN).map(String::as_str).collect::<Vec<_>>().join(", ");
     let more = if ids.len() > SHOWN { ", ..." } else { "" };
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -1,8 +1,10 @@
-//! Requests with one operation key are one message: whichever came first is taken, and the others are told its id.
+//! Deduplication by operation key: all requests with one key are one message. The first request is
+//! accepted; repeats are answered with its id.
 //!
-//! The store that owns the operation's partition decides by the messages that it owns. What it inherits may hold the key as
-//! well: it decides nothing before it has all of that.
-use super::{races::LeftBecause, some_of, Store};
+//! The store that owns the operation's partition decides, based on the messages that it owns. While it
+//! takes over from another store, the key may be among messages that it hasn't collected yet, so it decides
+//! nothing until it has all of them.
+use super::{relinquish::RelinquishReason, summarize_ids, Store};
 use crate::calls::{PutAnswer, Refusal};
 use net::runtime;
 use net::wake::Watched;
@@ -13,68 +15,69 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a repeat waits for the message of its operation to be on enough disks, in milliseconds: no longer than an edge
+/// How long a repeat waits until the first request's message is on enough disks; no longer than an edge
 /// waits for a store.
-const LONGEST_WAIT: u64 = 1_200;
-/// A repeat looks again after so long: stores whose copies count may have come or gone without a word.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const MAX_WAIT_MS: u64 = 1_200;
+/// A waiting repeat checks again after this time, since a change of the available stores sends no
+/// notification.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Operations whose requests are being decided.
+/// Operations with a request in progress.
 #[derive(Default)]
 pub struct Reservations {
-    taken: RefCell<BTreeSet<TenantKey>>,
-    /// One of them was decided, or a message is at more stores.
+    reserved: RefCell<BTreeSet<TenantKey>>,
+    /// A request was decided, or a message got another copy.
     changed: Watched,
     counts: Cell<Counts>,
 }
 
-/// How many requests with operation keys came to what end, since the start.
+/// Number of requests with operation keys by result, since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// First requests that were taken.
-    pub taken: usize,
-    /// Requests that were told the id of an earlier one.
+    /// First requests that were accepted.
+    pub accepted: usize,
+    /// Requests that were answered with the id of an earlier one.
     pub repeats: usize,
     /// Requests that waited for an earlier one.
     pub waited: usize,
-    /// Requests that waited in vain.
+    /// Requests whose wait timed out.
     pub unclear: usize,
-    /// Requests that were refused since it isn't known here whether there was an earlier one.
+    /// Requests that were refused because it isn't known here whether there was an earlier one.
     pub undecided: usize,
-    /// Messages that went since another one of their operation stays.
+    /// Messages that were dropped in favour of another one of their operation.
     pub superseded: usize,
 }
 
 impl Counts {
-    /// For an operator's tool.
+    /// The counts for the status.
     pub fn as_json(self) -> serde_json::Value {
-        let Counts { taken, repeats, waited, unclear, undecided, superseded } = self;
+        let Counts { accepted, repeats, waited, unclear, undecided, superseded } = self;
         serde_json::json!({
-            "taken": taken, "repeats": repeats, "waited": waited,
+            "taken": accepted, "repeats": repeats, "waited": waited,
             "unclear": unclear, "undecided": undecided, "superseded": superseded,
         })
     }
 }
 
 impl Reservations {
-    /// How many requests came to what end.
+    /// The counts so far.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    fn count(&self, one: impl Fn(&mut Counts)) {
+    fn count(&self, update: impl Fn(&mut Counts)) {
         let mut counts = self.counts.get();
-        one(&mut counts);
+        update(&mut counts);
         self.counts.set(counts);
     }
 
-    /// Something that repeats may wait for has changed.
-    pub fn look_again(&self) {
+    /// Wakes waiting repeats to check again.
+    pub fn notify_changed(&self) {
         self.changed.raise();
     }
 }
 
-/// An operation is reserved for one request until this is dropped.
+/// Reserves an operation for one request until it is dropped.
 struct Reservation {
     store: Rc<Store>,
     operation: TenantKey,
@@ -82,59 +85,62 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.store.reservations.taken.borrow_mut().remove(&self.operation);
+        self.store.reservations.reserved.borrow_mut().remove(&self.operation);
         self.store.reservations.changed.raise();
     }
 }
 
-/// What is known of an operation.
-enum Known {
+/// What this store knows of an operation.
+enum OperationState {
     Unknown,
-    /// Its message is on enough disks, under this id.
-    Safe(String),
-    /// A request of it is being taken, or its message is on too few disks.
-    OnItsWay,
+    /// Its message, with this id, is on enough disks.
+    Replicated(String),
+    /// A request is in progress, or its message is on too few disks.
+    InProgress,
 }
 
 impl Store {
-    /// Takes a message with an operation key, unless there is one of that operation: then the request is a repeat, and is
-    /// told that one's id once it is safe.
-    pub(super) async fn put_once(self: &Rc<Self>, operation: TenantKey, message: Message) -> PutAnswer {
-        let until = self.clock.ms() + LONGEST_WAIT;
+    /// Accepts a message with an operation key, unless the operation already has a message: then the
+    /// request is a repeat and is answered with that message's id once it is on enough disks.
+    pub(super) async fn put_idempotent(self: &Rc<Self>, operation: TenantKey, message: Message) -> PutAnswer {
+        let until = self.clock.ms() + MAX_WAIT_MS;
         let mut waited = false;
         loop {
-            // Whether it is still this store's to decide may have changed while the request waited.
-            if let Some(refusal) = self.refusal_of_key(&message.envelope) {
-                return self.refused_unless_known(&message, refusal);
+            // Another store may have become responsible while the request waited.
+            if let Some(refusal) = self.key_refusal(&message.envelope) {
+                return self.refuse_unless_seen(&message, refusal);
             }
-            match self.known_of(&operation) {
-                Known::Safe(id) => {
+            match self.operation_state(&operation) {
+                OperationState::Replicated(id) => {
                     log::debug!("{} repeats the operation of {id}", message.id());
                     self.reservations.count(|counts| counts.repeats += 1);
                     return PutAnswer::Taken { id };
                 }
-                Known::Unknown => {
-                    if let Some(answer) = self.put_reserved(&operation, &message).await {
+                OperationState::Unknown => {
+                    if let Some(answer) = self.accept_first(&operation, &message).await {
                         return answer;
                     }
                 }
-                Known::OnItsWay if self.clock.ms() >= until => {
-                    log::info!("{}: the first request of its operation isn't safe in time", message.id());
+                OperationState::InProgress if self.clock.ms() >= until => {
+                    log::info!(
+                        "{}: the first request of its operation isn't on enough disks in time",
+                        message.id()
+                    );
                     self.reservations.count(|counts| counts.unclear += 1);
                     return PutAnswer::Unclear;
                 }
-                Known::OnItsWay => {
-                    let is_first_look = !std::mem::replace(&mut waited, true);
-                    self.reservations.count(|counts| counts.waited += usize::from(is_first_look));
+                OperationState::InProgress => {
+                    let is_first_wait = !std::mem::replace(&mut waited, true);
+                    self.reservations.count(|counts| counts.waited += usize::from(is_first_wait));
                     let seen = self.reservations.changed.get();
-                    let _ = runtime::timeout(LOOK_AGAIN, self.reservations.changed.changed(seen)).await;
+                    let _ = runtime::timeout(CHECK_INTERVAL, self.reservations.changed.changed(seen)).await;
                 }
             }
         }
     }
 
-    /// A message is refused, unless the same request was read before and may have been taken.
-    fn refused_unless_known(&self, message: &Message, refusal: Refusal) -> PutAnswer {
+    /// Refuses a message; the answer is unclear if this store already owns it from an earlier attempt.
+    fn refuse_unless_seen(&self, message: &Message, refusal: Refusal) -> PutAnswer {
         self.reservations.count(|counts| counts.undecided += 1);
         match self.queue.borrow().owned(message.id()).is_some() {
             true => PutAnswer::Unclear,
@@ -142,91 +148,97 @@
         }
     }
 
-    /// Takes the first request of an operation; nothing if a message of it has come from another store meanwhile.
-    async fn put_reserved(self: &Rc<Self>, operation: &TenantKey, message: &Message) -> Option<PutAnswer> {
-        if let Some(refusal) = self.refusal_to_take(&message.envelope) {
+    /// Accepts the first request of an operation; none if a message of it arrived from another store
+    /// meanwhile.
+    async fn accept_first(self: &Rc<Self>, operation: &TenantKey, message: &Message) -> Option<PutAnswer> {
+        if let Some(refusal) = self.acceptance_refusal(&message.envelope) {
             return Some(PutAnswer::Refused(refusal));
         }
-        self.reservations.taken.borrow_mut().insert(operation.clone());
+        self.reservations.reserved.borrow_mut().insert(operation.clone());
         let _reservation = Reservation { store: self.clone(), operation: operation.clone() };
-        if let Some(refusal) = self.refusal_once_counted(message).await {
+        if let Some(refusal) = self.count_and_check(message).await {
             return Some(PutAnswer::Refused(refusal));
         }
-        // A holder may have given back one that this store's disk has lost.
+        // A holder may have returned a message that this store's disk has lost.
         if self.queue.borrow().of_operation(operation).is_some() {
             return None;
         }
-        let answer = self.take(message.clone()).await;
+        let answer = self.accept_message(message.clone()).await;
         if matches!(answer, PutAnswer::Taken { .. }) {
-            self.reservations.count(|counts| counts.taken += 1);
+            self.reservations.count(|counts| counts.accepted += 1);
         }
         Some(answer)
     }
 
-    fn known_of(&self, operation: &TenantKey) -> Known {
-        if self.reservations.taken.borrow().contains(operation) {
-            return Known::OnItsWay;
+    fn operation_state(&self, operation: &TenantKey) -> OperationState {
+        if self.reservations.reserved.borrow().contains(operation) {
+            return OperationState::InProgress;
         }
         let queue = self.queue.borrow();
         match queue.of_operation(operation) {
-            None => Known::Unknown,
-            Some(owned) if self.is_safe(owned) => Known::Safe(owned.id().to_string()),
-            Some(_) => Known::OnItsWay,
+            None => OperationState::Unknown,
+            Some(owned) if self.has_acceptance_copies(owned) => {
+                OperationState::Replicated(owned.id().to_string())
+            }
+            Some(_) => OperationState::InProgress,
         }
     }
 
-    /// A message, live or ended, is on as many disks as it has to be before it is acknowledged.
-    fn is_safe(&self, owned: &OwnedMessage) -> bool {
+    /// Whether a message, unfinished or finished, is on as many disks as an acknowledgement requires.
+    fn has_acceptance_copies(&self, owned: &OwnedMessage) -> bool {
         let is_written = owned.stage() != Some(Stage::Copying);
-        is_written && self.placement_to_take().missing(&owned.copies) == 0
+        is_written && self.acceptance_placement().missing(&owned.copies) == 0
     }
 
-    /// All that lost stores had, live or ended, has been told by those that kept it, and since the start all holders that
-    /// answer have told what they hold: whatever is known of an operation is known here.
-    pub(super) fn knows_operations(&self) -> bool {
-        let has_compared = self.clock.ms() >= self.recovered_until.get();
-        has_compared && self.knows_its_part() && !self.collects_inheritance()
+    /// Whether this store knows all that is known of its operations: it has collected everything from lost
+    /// stores, and since the start all reachable holders have reported what they hold.
+    pub(super) fn can_decide_operations(&self) -> bool {
+        let has_reconciled = self.clock.ms() >= self.recovery_hold_until_ms.get();
+        has_reconciled && self.has_applied_latest_view() && !self.is_collecting_takeovers()
     }
 
-    /// Whether a message may run as far as its key goes: others of its ordering key, or of its operation, may be among
-    /// what is still to be taken over.
+    /// Whether a message's key allows its delivery: messages still to be collected in a takeover may have
+    /// the same ordering key or operation key.
     pub(super) fn key_may_run(&self, envelope: &Envelope) -> bool {
         match envelope.operation_key.is_some() {
-            true => self.knows_operations(),
-            false => self.knows_its_part() && !self.lacks_inheritance(),
+            true => self.can_decide_operations(),
+            false => self.has_applied_latest_view() && !self.lacks_taken_over_messages(),
         }
     }
 
-    /// Leaves out messages whose operations have another one that stays, and leaves own ones that one of these supersedes.
+    /// Removes messages whose operation has another message that takes precedence, and relinquishes own
+    /// messages that lose to one of `given`.
     pub(super) fn settle_operations(&self, given: Vec<Given>) -> Vec<Given> {
         let Settled { open, superseded, displaced } = rivals::settle(&self.queue.borrow(), given);
         self.reservations.count(|counts| counts.superseded += displaced.len());
-        self.leave_to_others(displaced, LeftBecause::Superseded);
+        self.relinquish(displaced, RelinquishReason::Superseded);
         self.record_superseded(superseded);
         open
     }
 
-    /// A message that has ended is to be owned here: one of the same operation that hasn't begun goes.
-    pub(super) fn leave_rivals_of(&self, given: &[GivenEnded]) {
+    /// Relinquishes own unstarted messages of the same operations as finished messages that are about to be
+    /// adopted.
+    pub(super) fn relinquish_duplicates_of(&self, given: &[GivenEnded]) {
         let rivals: Vec<String> = {
             let queue = self.queue.borrow();
             let rivals = given.iter().filter_map(|given| queue.rival(given.ended.envelope()));
             rivals.filter(|rival| rival.is_live()).map(|rival| rival.id().to_string()).collect()
         };
         self.reservations.count(|counts| counts.superseded += rivals.len());
-        self.leave_to_others(rivals, LeftBecause::Superseded);
+        self.relinquish(rivals, RelinquishReason::Superseded);
     }
 
-    /// Messages of operations of which another one stays are neither owned here nor fetched again.
+    /// Records messages that lost to another one of their operation, so that they are neither owned nor
+    /// fetched again.
     pub(super) fn record_superseded(&self, ids: Vec<String>) {
         if ids.is_empty() {
             return;
         }
         self.reservations.count(|counts| counts.superseded += ids.len());
-        log::warn!("another message of the same operation stays: {}", some_of(&ids));
+        log::warn!("another message of the same operation takes precedence: {}", summarize_ids(&ids));
         for id in ids {
-            self.log.note(&Entry::Dropped { owner: self.disk, id: id.clone() });
-            self.not_wanted.borrow_mut().insert(id, self.clock.ms());
+            self.log.write_later(&Entry::Dropped { owner: self.disk, id: id.clone() });
+            self.relinquished.borrow_mut().insert(id, self.clock.ms());
         }
     }
 }
--- a/crates/node/src/store/quota.rs
+++ b/crates/node/src/store/quota.rs
@@ -1,7 +1,7 @@
-//! Whether a tenant may have one more message accepted: a store asks the tenant's counters for a quorum of tokens before it
-//! takes a message, and counts for tenants itself. The decisions are those of the crate `quota`; the calls are in
+//! Quotas of tenants: before accepting a message, a store needs tokens from a quorum of the tenant's
+//! counters. It is also a counter for some tenants itself. The rules are in the crate `quota`, the calls in
 //! [`quota_calls`](super::quota_calls).
-use super::quota_calls::{Asked, Lines};
+use super::quota_calls::{CounterConnections, TokenReplies};
 use super::Store;
 use crate::calls::{CountRequest, Refusal};
 use net::runtime;
@@ -14,150 +14,161 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A counter that hasn't answered for so long is late: another one is asked in its place.
-const LATE: Duration = Duration::from_millis(60);
-/// A message that has no quorum of tokens by then isn't counted.
-pub(super) const PATIENCE: Duration = Duration::from_millis(250);
-/// How often full buckets are forgotten, in milliseconds.
-const FORGET_EVERY: Ms = 5_000;
-/// How often it is noted that the control group was heard.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// A tenant that uses up such a share of a bucket is shown as near its limit.
-const NEAR_LIMIT: f64 = 0.7;
-
-/// What a store needs for counting: its own ledger, and the ways to other counters.
-pub struct Counting {
+/// A counter that hasn't answered after this time is late, and another one is asked in its place.
+const LATE_AFTER: Duration = Duration::from_millis(60);
+/// A message without a quorum of tokens by then isn't counted.
+pub(super) const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval at which full buckets are dropped.
+const EXPIRY_INTERVAL_MS: Ms = 5_000;
+/// Interval at which the time of the last contact with the control group is recorded.
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A tenant that has used this share of a bucket is reported as near its limit.
+const NEAR_LIMIT_SHARE: f64 = 0.7;
+
+/// State for quotas: this store's own ledger, and its connections to other counters.
+pub struct QuotaState {
     ledger: RefCell<Ledger>,
-    pub(super) lines: Lines,
-    /// Tenants of which a counter said that it is short, and until when.
-    short_until: RefCell<HashMap<String, Ms>>,
-    turn: Cell<usize>,
-    forgotten_at: Cell<Ms>,
+    pub(super) connections: CounterConnections,
+    /// Tenants that were over their quota at a counter, and until when.
+    over_quota_until: RefCell<HashMap<String, Ms>>,
+    /// Round-robin counter for choosing counters.
+    next_turn: Cell<usize>,
+    /// When full buckets were last dropped.
+    expired_at: Cell<Ms>,
 }
 
-impl Counting {
-    /// For the store of a disk; `resumes` if an earlier process was that store.
-    pub fn new(disk: u64, resumes: bool) -> Counting {
-        let life = runtime::unique();
-        let ledger = if resumes { Ledger::resumed(disk, life) } else { Ledger::new(disk, life) };
-        Counting {
+impl QuotaState {
+    /// The state for the store with this disk; `resumes` if an earlier process ran it.
+    pub fn new(disk: u64, resumes: bool) -> QuotaState {
+        let process_id = runtime::unique();
+        let ledger = if resumes { Ledger::resumed(disk, process_id) } else { Ledger::new(disk, process_id) };
+        QuotaState {
             ledger: RefCell::new(ledger),
-            lines: Lines::default(),
-            short_until: RefCell::default(),
-            turn: Cell::default(),
-            forgotten_at: Cell::default(),
+            connections: CounterConnections::default(),
+            over_quota_until: RefCell::default(),
+            next_turn: Cell::default(),
+            expired_at: Cell::default(),
         }
     }
 }
 
 impl Store {
-    /// Notes for good which stores there are, as the control group tells it.
-    pub(super) async fn follow_counters(self: Rc<Self>) {
+    /// Records the membership of the stores as the control group reports it, until the process ends.
+    pub(super) async fn follow_membership(self: Rc<Self>) {
         loop {
-            let seen = self.known.changes.get();
-            self.note_members();
-            let _ = runtime::timeout(LOOK_EVERY, self.known.changes.changed(seen)).await;
+            let seen = self.cluster.changes.get();
+            self.record_members();
+            let _ = runtime::timeout(MEMBERSHIP_CHECK_INTERVAL, self.cluster.changes.changed(seen)).await;
         }
     }
 
-    /// Notes which stores there are, and when the control group was asked last.
-    fn note_members(&self) {
-        let Some(news_age) = self.known.news_age() else { return };
-        let stores = self.known.stores();
+    /// Records which stores there are, and the time of the last answered request to the control group.
+    fn record_members(&self) {
+        let Some(news_age) = self.cluster.news_age() else { return };
+        let stores = self.cluster.stores();
         if stores.owners.is_empty() {
             return;
         }
         let now = self.clock.ms();
         let asked_ms = now.saturating_sub(news_age.as_millis() as Ms);
-        self.counting.ledger.borrow_mut().heard(&stores.owners, asked_ms, now);
+        self.quotas.ledger.borrow_mut().heard(&stores.owners, asked_ms, now);
     }
 
     fn limit_of(&self, tenant: &str) -> Known {
-        match self.known.configuration().tenant(tenant) {
+        match self.cluster.configuration().tenant(tenant) {
             Some(tenant) => tenant.quota().map_or(Known::Unlimited, Known::Limited),
             None => Known::Unknown,
         }
     }
 
-    /// Counts a message against its tenant's quota before it is taken.
+    /// Counts a message against its tenant's quota before it is accepted.
     pub(super) async fn count(self: &Rc<Self>, message: &Message) -> Result<(), Refusal> {
         let Some(tenant) = &message.envelope.tenant else { return Ok(()) };
-        let begun = runtime::now();
-        match self.limit_once_known(tenant, message.envelope.version, begun).await {
+        let started_at = runtime::now();
+        match self.wait_for_limit(tenant, message.envelope.version, started_at).await {
             Known::Unlimited => return Ok(()),
             Known::Unknown => return Err(Refusal::NotCounted),
             Known::Limited(_) => {}
         }
-        if self.is_short(tenant) {
+        if self.is_over_quota(tenant) {
             return Err(Refusal::OverQuota);
         }
-        match self.quorum_of_tokens(tenant, begun).await {
+        match self.collect_quorum(tenant, started_at).await {
             Ok(()) => Ok(()),
             Err(Denial::NotCounted) => Err(Refusal::NotCounted),
             Err(Denial::OverQuota { for_ms }) => {
                 let until = self.clock.ms() + for_ms;
-                self.counting.short_until.borrow_mut().insert(tenant.clone(), until);
+                self.quotas.over_quota_until.borrow_mut().insert(tenant.clone(), until);
                 Err(Refusal::OverQuota)
             }
         }
     }
 
-    /// The limit of a tenant. Where an edge knew the tenant by a newer configuration than this store, that is waited for.
-    async fn limit_once_known(&self, tenant: &str, version: u64, begun: Instant) -> Known {
+    /// The limit of a tenant. If the edge used a newer configuration than this store has, waits for that
+    /// one.
+    async fn wait_for_limit(&self, tenant: &str, version: u64, started_at: Instant) -> Known {
         loop {
-            let seen = self.known.changes.get();
+            let seen = self.cluster.changes.get();
             let limit = self.limit_of(tenant);
-            let left = PATIENCE.saturating_sub(runtime::elapsed(begun));
-            if limit != Known::Unknown || self.known.version() >= version || left.is_zero() {
+            let left = TOKEN_TIMEOUT.saturating_sub(runtime::elapsed(started_at));
+            if limit != Known::Unknown || self.cluster.version() >= version || left.is_zero() {
                 return limit;
             }
-            let _ = runtime::timeout(left, self.known.changes.changed(seen)).await;
+            let _ = runtime::timeout(left, self.cluster.changes.changed(seen)).await;
         }
     }
 
-    fn is_short(&self, tenant: &str) -> bool {
-        let short_until = self.counting.short_until.borrow();
-        short_until.get(tenant).is_some_and(|until| self.clock.ms() < *until)
+    fn is_over_quota(&self, tenant: &str) -> bool {
+        let over_quota_until = self.quotas.over_quota_until.borrow();
+        over_quota_until.get(tenant).is_some_and(|until| self.clock.ms() < *until)
     }
 
-    /// Asks counters for tokens until a quorum has given one each, or can't any more.
-    async fn quorum_of_tokens(self: &Rc<Self>, tenant: &str, begun: Instant) -> Result<(), Denial> {
-        let counters = self.counting.ledger.borrow().counters(tenant);
-        let mut grant = Grant::new(&counters, &self.order(tenant, &counters));
-        let asked = Rc::new(Asked::default());
-        let mut wait = LATE;
+    /// Asks counters for tokens until a quorum has granted one each or a quorum is out of reach.
+    async fn collect_quorum(self: &Rc<Self>, tenant: &str, started_at: Instant) -> Result<(), Denial> {
+        let counters = self.quotas.ledger.borrow().counters(tenant);
+        let mut grant = Grant::new(&counters, &self.counter_order(tenant, &counters));
+        let token_replies = Rc::new(TokenReplies::default());
+        let mut wait = LATE_AFTER;
         while grant.progress() == Progress::Open {
-            let seen = asked.changed.get();
+            let seen = token_replies.changed.get();
             let to_ask = grant.to_ask();
-            to_ask.iter().for_each(|disk| self.ask_counter(*disk, tenant, &counters, &asked));
-            let replies = asked.take();
+            to_ask.iter().for_each(|disk| self.ask_counter(*disk, tenant, &counters, &token_replies));
+            let replies = token_replies.take();
             if !replies.is_empty() {
                 replies.into_iter().for_each(|(disk, reply)| grant.heard(disk, reply));
                 continue;
             }
-            let left = wait.saturating_sub(runtime::elapsed(begun));
-            let answered = runtime::timeout(left, asked.changed.changed(seen)).await.is_ok();
-            if !answered && wait == PATIENCE {
+            let left = wait.saturating_sub(runtime::elapsed(started_at));
+            let answered = runtime::timeout(left, token_replies.changed.changed(seen)).await.is_ok();
+            if !answered && wait == TOKEN_TIMEOUT {
                 break;
             }
             if !answered {
-                wait = PATIENCE;
-                grant.late().iter().for_each(|disk| self.counting.lines.is_silent(*disk, self.clock.ms()));
+                wait = TOKEN_TIMEOUT;
+                grant
+                    .late()
+                    .iter()
+                    .for_each(|disk| self.quotas.connections.mark_unresponsive(*disk, self.clock.ms()));
             }
         }
-        asked.over.set(true);
-        self.settle_tokens(tenant, grant, begun)
-    }
-
-    /// Gives back what isn't used. Tokens that came while this process stood still are not used either: they were counted
-    /// in another time.
-    fn settle_tokens(self: &Rc<Self>, tenant: &str, mut grant: Grant, begun: Instant) -> Result<(), Denial> {
-        let in_time = runtime::elapsed(begun) <= PATIENCE;
+        token_replies.concluded.set(true);
+        self.conclude_grant(tenant, grant, started_at)
+    }
+
+    /// Returns unused tokens. Tokens of a grant that took too long are unused as well: they were counted in
+    /// an earlier period, say before a pause of this process.
+    fn conclude_grant(
+        self: &Rc<Self>,
+        tenant: &str,
+        mut grant: Grant,
+        started_at: Instant,
+    ) -> Result<(), Denial> {
+        let in_time = runtime::elapsed(started_at) <= TOKEN_TIMEOUT;
         if !in_time {
             grant.give_up();
         }
         let unused = grant.to_give_back();
-        unused.into_iter().for_each(|token| self.give_back(tenant, token));
+        unused.into_iter().for_each(|token| self.return_token(tenant, token));
         match grant.progress() {
             Progress::Granted => Ok(()),
             Progress::Denied(denial) => Err(denial),
@@ -165,60 +176,66 @@
         }
     }
 
-    fn order(&self, tenant: &str, counters: &Counters) -> Vec<Candidate> {
-        let stores = self.known.stores();
+    fn counter_order(&self, tenant: &str, counters: &Counters) -> Vec<Candidate> {
+        let stores = self.cluster.stores();
         let now = self.clock.ms();
         let candidate = |disk: &u64| {
-            let (silent, plenty) = self.counting.lines.last_words(*disk, tenant, now);
+            let (silent, plenty) = self.quotas.connections.last_known_state(*disk, tenant, now);
             let distance = stores.get(*disk).map(|store| store.location.distance(&self.location) as u32);
             Candidate { disk: *disk, silent, plenty, distance: distance.unwrap_or(u32::MAX) }
         };
-        let turn = self.counting.turn.get();
-        self.counting.turn.set(turn.wrapping_add(1));
+        let turn = self.quotas.next_turn.get();
+        self.quotas.next_turn.set(turn.wrapping_add(1));
         grant::order(counters.disks().iter().map(candidate).collect(), turn)
     }
 
     /// Asks one counter for a token; this store itself without a call.
-    fn ask_counter(self: &Rc<Self>, disk: u64, tenant: &str, counters: &Counters, asked: &Rc<Asked>) {
+    fn ask_counter(
+        self: &Rc<Self>,
+        disk: u64,
+        tenant: &str,
+        counters: &Counters,
+        token_replies: &Rc<TokenReplies>,
+    ) {
         let want = Want { tenant: tenant.to_string(), counters: counters.digest(), tokens: 1 };
         if disk != self.disk {
-            return self.ask_by_call(disk, want, asked.clone());
+            return self.queue_request(disk, want, token_replies.clone());
         }
-        let counted = self.count_here(&want);
-        asked.reply(disk, reply_of(counted, 0));
+        let counted = self.count_locally(&want);
+        token_replies.add(disk, reply_for(counted, 0));
     }
 
-    /// Gives back a token that no message used.
-    pub(super) fn give_back(self: &Rc<Self>, tenant: &str, token: Token) {
+    /// Returns a token that no message used.
+    pub(super) fn return_token(self: &Rc<Self>, tenant: &str, token: Token) {
         let returned = Return { tenant: tenant.to_string(), tokens: 1, taken: token.stamp };
         match token.disk == self.disk {
-            true => self.counting.ledger.borrow_mut().take_back(&returned, self.clock.ms()),
-            false => self.return_by_call(token.disk, returned),
+            true => self.quotas.ledger.borrow_mut().take_back(&returned, self.clock.ms()),
+            false => self.queue_return(token.disk, returned),
         }
     }
 
-    fn count_here(&self, want: &Want) -> Counted {
+    fn count_locally(&self, want: &Want) -> Counted {
         let limit = self.limit_of(&want.tenant);
-        self.counting.ledger.borrow_mut().count(want, limit, self.clock.ms())
+        self.quotas.ledger.borrow_mut().count(want, limit, self.clock.ms())
     }
 
-    /// Answers a batch of requests for tokens.
-    pub(super) fn count_for(&self, request: CountRequest) -> Vec<Counted> {
-        self.note_members();
+    /// Answers a batch of token requests from another store.
+    pub(super) fn count_for_peer(&self, request: CountRequest) -> Vec<Counted> {
+        self.record_members();
         let now = self.clock.ms();
-        let mut ledger = self.counting.ledger.borrow_mut();
+        let mut ledger = self.quotas.ledger.borrow_mut();
         request.returns.iter().for_each(|returned| ledger.take_back(returned, now));
-        if now >= self.counting.forgotten_at.get() + FORGET_EVERY {
-            self.counting.forgotten_at.set(now);
+        if now >= self.quotas.expired_at.get() + EXPIRY_INTERVAL_MS {
+            self.quotas.expired_at.set(now);
             ledger.forget_idle(now);
         }
         drop(ledger);
-        request.wants.iter().map(|want| self.count_here(want)).collect()
+        request.wants.iter().map(|want| self.count_locally(want)).collect()
     }
 
-    /// Tenants that are near their limits at this counter.
+    /// Tenants near their limits at this counter, for the status.
     pub(super) fn tenants_near_limits(&self) -> serde_json::Value {
-        let near = self.counting.ledger.borrow_mut().near_limit(NEAR_LIMIT, self.clock.ms());
+        let near = self.quotas.ledger.borrow_mut().near_limit(NEAR_LIMIT_SHARE, self.clock.ms());
         let shown = near.into_iter().map(|used| {
             let share = (used.share * 100.0).round() / 100.0;
             serde_json::json!({"tenant": used.tenant, "used": share, "refused": used.refused})
@@ -227,8 +244,8 @@
     }
 }
 
-/// What the message at a place of a batch is told.
-pub(super) fn reply_of(counted: Counted, place: u32) -> Reply {
+/// The reply to the message at position `place` of a batch.
+pub(super) fn reply_for(counted: Counted, place: u32) -> Reply {
     match counted {
         Counted::Taken { tokens, stamp, .. } if place < tokens => Reply::Token(stamp),
         Counted::Taken { short_ms, .. } => Reply::Short(short_ms),
--- a/crates/node/src/store/quota_calls.rs
+++ b/crates/node/src/store/quota_calls.rs
@@ -1,6 +1,6 @@
-//! Calls to the stores that count for tenants: what waits for one counter goes in one call, and what comes while a call is
-//! under way goes in the next.
-use super::quota::{reply_of, PATIENCE};
+//! Calls to counters in batches: all requests that wait for one counter go into one call, and requests that
+//! arrive during a call go into the next.
+use super::quota::{reply_for, TOKEN_TIMEOUT};
 use super::Store;
 use crate::calls::{Call, CountRequest};
 use net::runtime;
@@ -12,22 +12,24 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A counter that didn't answer in time is asked after the others for so long, in milliseconds.
-const SILENT_FOR: Ms = 300;
+/// A counter that didn't answer in time is asked after the others for this long.
+const UNRESPONSIVE_MS: Ms = 300;
 
-/// The answers that came to one message's requests for tokens.
+/// Replies to the token requests of one message.
 #[derive(Default)]
-pub struct Asked {
+pub struct TokenReplies {
+    /// Replies by the disk of the counter.
     replies: RefCell<Vec<(u64, Reply)>>,
+    /// Signals new replies.
     pub changed: Watched,
-    /// The message is decided: tokens that come now are given back.
-    pub over: Cell<bool>,
+    /// The grant is concluded: further tokens are returned.
+    pub concluded: Cell<bool>,
 }
 
-impl Asked {
-    /// A counter answered; false if the answer isn't needed any more.
-    pub fn reply(&self, disk: u64, reply: Reply) -> bool {
-        if self.over.get() {
+impl TokenReplies {
+    /// Adds the reply of a counter; false if it isn't needed any more.
+    pub fn add(&self, disk: u64, reply: Reply) -> bool {
+        if self.concluded.get() {
             return false;
         }
         self.replies.borrow_mut().push((disk, reply));
@@ -35,7 +37,7 @@
         true
     }
 
-    /// The answers that came since this was called last.
+    /// The replies since the last call.
     pub fn take(&self) -> Vec<(u64, Reply)> {
         self.replies.take()
     }
@@ -44,36 +46,37 @@
 /// A message that waits for one counter.
 struct Waiting {
     want: Want,
-    asked: Rc<Asked>,
+    token_replies: Rc<TokenReplies>,
 }
 
-/// The way to one counter.
+/// Connection to one counter.
 #[derive(Default)]
-struct Line {
+struct CounterConnection {
     waiting: RefCell<Vec<Waiting>>,
+    /// Unused tokens to return.
     returns: RefCell<Vec<Return>>,
-    under_way: Cell<bool>,
-    silent_until: Cell<Ms>,
-    /// Tenants whose bucket there was more than half full when it was asked last.
+    call_in_progress: Cell<bool>,
+    unresponsive_until: Cell<Ms>,
+    /// Tenants whose bucket was more than half full at the last reply.
     plenty: RefCell<HashMap<String, bool>>,
 }
 
 /// Requests of one tenant in a batch.
 struct Group {
     want: Want,
-    messages: Vec<Rc<Asked>>,
+    messages: Vec<Rc<TokenReplies>>,
 }
 
-impl Line {
-    /// All that waits, by tenant and set of counters.
+impl CounterConnection {
+    /// All waiting requests, by tenant and set of counters.
     fn take_waiting(&self) -> Vec<Group> {
         let mut groups: BTreeMap<(String, u64), Group> = BTreeMap::new();
-        for Waiting { want, asked } in self.waiting.take() {
+        for Waiting { want, token_replies } in self.waiting.take() {
             let key = (want.tenant.clone(), want.counters);
             let new = || Group { want: Want { tokens: 0, ..want.clone() }, messages: Vec::new() };
             let group = groups.entry(key).or_insert_with(new);
             group.want.tokens += want.tokens;
-            group.messages.push(asked);
+            group.messages.push(token_replies);
         }
         groups.into_values().collect()
     }
@@ -91,90 +94,98 @@
     }
 }
 
-/// The ways to all counters.
+/// Connections to all counters.
 #[derive(Default)]
-pub struct Lines(RefCell<BTreeMap<u64, Rc<Line>>>);
+pub struct CounterConnections(RefCell<BTreeMap<u64, Rc<CounterConnection>>>);
 
-impl Lines {
-    fn to(&self, disk: u64) -> Rc<Line> {
+impl CounterConnections {
+    fn to(&self, disk: u64) -> Rc<CounterConnection> {
         self.0.borrow_mut().entry(disk).or_default().clone()
     }
 
-    /// A counter didn't answer in time.
-    pub fn is_silent(&self, disk: u64, now: Ms) {
-        self.to(disk).silent_until.set(now + SILENT_FOR);
+    /// Marks a counter that didn't answer in time.
+    pub fn mark_unresponsive(&self, disk: u64, now: Ms) {
+        self.to(disk).unresponsive_until.set(now + UNRESPONSIVE_MS);
     }
 
-    /// Whether a counter was silent when it was asked last, and whether a tenant's bucket there had plenty.
-    pub fn last_words(&self, disk: u64, tenant: &str, now: Ms) -> (bool, bool) {
-        let line = self.to(disk);
-        let plenty = line.plenty.borrow().get(tenant).copied().unwrap_or(false);
-        (now < line.silent_until.get(), plenty)
+    /// Whether a counter is marked as unresponsive, and whether a tenant's bucket there was more than half
+    /// full.
+    pub fn last_known_state(&self, disk: u64, tenant: &str, now: Ms) -> (bool, bool) {
+        let connection = self.to(disk);
+        let plenty = connection.plenty.borrow().get(tenant).copied().unwrap_or(false);
+        (now < connection.unresponsive_until.get(), plenty)
     }
 }
 
 impl Store {
-    /// Has a request for a token wait for the next call to a counter.
-    pub(super) fn ask_by_call(self: &Rc<Self>, disk: u64, want: Want, asked: Rc<Asked>) {
-        self.counting.lines.to(disk).waiting.borrow_mut().push(Waiting { want, asked });
+    /// Queues a token request for the next call to a counter.
+    pub(super) fn queue_request(self: &Rc<Self>, disk: u64, want: Want, token_replies: Rc<TokenReplies>) {
+        self.quotas.connections.to(disk).waiting.borrow_mut().push(Waiting { want, token_replies });
         self.call_counter(disk);
     }
 
-    /// Has a token that no message used wait for the next call to its counter.
-    pub(super) fn return_by_call(self: &Rc<Self>, disk: u64, returned: Return) {
-        self.counting.lines.to(disk).returns.borrow_mut().push(returned);
+    /// Queues an unused token for the next call to its counter.
+    pub(super) fn queue_return(self: &Rc<Self>, disk: u64, returned: Return) {
+        self.quotas.connections.to(disk).returns.borrow_mut().push(returned);
         self.call_counter(disk);
     }
 
     fn call_counter(self: &Rc<Self>, disk: u64) {
-        let line = self.counting.lines.to(disk);
-        if !line.under_way.replace(true) {
-            runtime::spawn(self.clone().call_while_any_waits(disk, line));
+        let connection = self.quotas.connections.to(disk);
+        if !connection.call_in_progress.replace(true) {
+            runtime::spawn(self.clone().call_until_empty(disk, connection));
         }
     }
 
-    async fn call_while_any_waits(self: Rc<Self>, disk: u64, line: Rc<Line>) {
+    async fn call_until_empty(self: Rc<Self>, disk: u64, connection: Rc<CounterConnection>) {
         loop {
-            let (groups, returns) = (line.take_waiting(), line.take_returns());
+            let (groups, returns) = (connection.take_waiting(), connection.take_returns());
             if groups.is_empty() && returns.is_empty() {
                 break;
             }
-            self.call_once(disk, &line, groups, returns).await;
+            self.call_once(disk, &connection, groups, returns).await;
         }
-        line.under_way.set(false);
+        connection.call_in_progress.set(false);
     }
 
-    async fn call_once(self: &Rc<Self>, disk: u64, line: &Line, groups: Vec<Group>, returns: Vec<Return>) {
+    async fn call_once(
+        self: &Rc<Self>,
+        disk: u64,
+        connection: &CounterConnection,
+        groups: Vec<Group>,
+        returns: Vec<Return>,
+    ) {
         let wants = groups.iter().map(|group| group.want.clone()).collect();
         let call = Call::Count(CountRequest { wants, returns });
-        let answer = match self.known.store(disk) {
+        let answer = match self.cluster.store(disk) {
             Some(store) => {
                 let to = SocketAddr::new(store.ip, self.port);
-                self.peers.call::<Call, Vec<Counted>>(to, &call, PATIENCE).await.ok()
+                self.peers.call::<Call, Vec<Counted>>(to, &call, TOKEN_TIMEOUT).await.ok()
             }
             None => None,
         };
         match &answer {
-            Some(_) => line.silent_until.set(0),
-            None => self.counting.lines.is_silent(disk, self.clock.ms()),
+            Some(_) => connection.unresponsive_until.set(0),
+            None => self.quotas.connections.mark_unresponsive(disk, self.clock.ms()),
         }
         let mut counted = answer.unwrap_or_default().into_iter();
         for group in groups {
             let counted = counted.next().unwrap_or(Counted::NotHere);
             if let Counted::Taken { plenty, .. } = counted {
-                line.plenty.borrow_mut().insert(group.want.tenant.clone(), plenty);
+                connection.plenty.borrow_mut().insert(group.want.tenant.clone(), plenty);
             }
-            self.share_out(disk, &group, counted);
+            self.distribute_replies(disk, &group, counted);
         }
     }
 
-    /// Tells each message of a group what the counter said; tokens of messages that are decided go back.
-    fn share_out(self: &Rc<Self>, disk: u64, group: &Group, counted: Counted) {
-        for (place, asked) in group.messages.iter().enumerate() {
-            let reply = reply_of(counted, place as u32);
-            let needed = asked.reply(disk, reply);
+    /// Passes a counter's answer to each message of a group; tokens that aren't needed any more are
+    /// returned.
+    fn distribute_replies(self: &Rc<Self>, disk: u64, group: &Group, counted: Counted) {
+        for (place, token_replies) in group.messages.iter().enumerate() {
+            let reply = reply_for(counted, place as u32);
+            let needed = token_replies.add(disk, reply);
             if let (false, Reply::Token(stamp)) = (needed, reply) {
-                self.give_back(&group.want.tenant, Token { disk, stamp });
+                self.return_token(&group.want.tenant, Token { disk, stamp });
             }
         }
     }
--- a/crates/node/src/store/peers.rs
+++ b/crates/node/src/store/rpc_handlers.rs
@@ -1,4 +1,5 @@
-//! What other members ask of a store. Every answer is bounded: lists and messages go out piece by piece.
+//! Answers the calls of other members. The size of every answer is bounded: lists and messages are sent in
+//! batches.
 use super::{encode, Store};
 use crate::calls::{Call, EndedPiece, Found, HeldFor, Holder, Piece};
 use crate::process;
@@ -8,29 +9,29 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Bytes of bodies in one answer, about; one message at least.
-pub const PIECE_BYTES: usize = 512 * 1024;
+/// Approximate size of the bodies in one answer, which has at least one message.
+pub const MAX_BATCH_BYTES: usize = 512 * 1024;
 /// Ids in one answer.
-pub const IDS_AT_ONCE: usize = 10_000;
-/// What a message takes besides its body, about.
+pub const MAX_IDS_PER_CALL: usize = 10_000;
+/// Approximate size of a message without its body.
 const ENVELOPE_BYTES: usize = 256;
 
-/// As many of some messages as fit one answer, at least one if there is any, and whether there are more.
-pub fn piece<T>(messages: impl Iterator<Item = T>, body_bytes: impl Fn(&T) -> usize) -> (Vec<T>, bool) {
-    let mut piece = Vec::new();
+/// Takes as many messages as fit one answer, at least one; also returns whether there are more.
+pub fn take_batch<T>(messages: impl Iterator<Item = T>, body_bytes: impl Fn(&T) -> usize) -> (Vec<T>, bool) {
+    let mut batch = Vec::new();
     let mut bytes = 0;
     for message in messages {
-        if bytes >= PIECE_BYTES {
-            return (piece, true);
+        if bytes >= MAX_BATCH_BYTES {
+            return (batch, true);
         }
         bytes += body_bytes(&message) + ENVELOPE_BYTES;
-        piece.push(message);
+        batch.push(message);
     }
-    (piece, false)
+    (batch, false)
 }
 
-/// Whose message it is, where its envelope is here.
-fn holder(queue: &Queue, id: &str) -> Holder {
+/// The tenant of a message, if its envelope is here.
+fn tenant_of(queue: &Queue, id: &str) -> Holder {
     let owned = queue.owned(id).map(|owned| owned.envelope().clone());
     let live = || queue.message(id).map(|message| message.envelope.clone());
     let ended = || queue.ended_replica(id).map(|(_, given)| given.ended.envelope().clone());
@@ -41,15 +42,15 @@
     }
 }
 
-/// Messages that have not ended, as many as fit one answer.
-pub fn live_piece(messages: impl Iterator<Item = Given>) -> Piece {
-    let (given, more) = piece(messages, |given| given.message.body.len());
+/// As many unfinished messages as fit one answer.
+pub fn message_batch(messages: impl Iterator<Item = Given>) -> Piece {
+    let (given, more) = take_batch(messages, |given| given.message.body.len());
     Piece { given, more }
 }
 
-/// Messages that have ended, as many as fit one answer.
-pub fn ended_piece(messages: impl Iterator<Item = GivenEnded>) -> EndedPiece {
-    let (given, more) = piece(messages, |given| given.ended.body_bytes());
+/// As many finished messages as fit one answer.
+pub fn finished_batch(messages: impl Iterator<Item = GivenEnded>) -> EndedPiece {
+    let (given, more) = take_batch(messages, |given| given.ended.body_bytes());
     EndedPiece { given, more }
 }
 
@@ -60,62 +61,67 @@
         match call {
             Call::Put(message) => encode(&self.put(message).await),
             Call::Replicate { owner, to, session, entries } => {
-                encode(&(to == self.disk && self.keep(owner, session, entries).await))
+                encode(&(to == self.disk && self.keep_records(owner, session, entries).await))
             }
-            Call::Held { owner, to, session, after } => encode(&self.held(owner, to, session, &after)),
-            Call::Fetch { ids } => encode(&self.fetch(&ids)),
-            Call::Ends { ids } => encode(&self.ends(&ids)),
+            Call::Held { owner, to, session, after } => encode(&self.report_held(owner, to, session, &after)),
+            Call::Fetch { ids } => encode(&self.copies_by_id(&ids)),
+            Call::Ends { ids } => encode(&self.final_records(&ids)),
             Call::Claim { lost } => encode(&self.claim(lost).await),
-            Call::Inherit { lost, after } => encode(&self.inherit(lost, &after)),
-            Call::InheritEnded { lost, after } => encode(&self.inherit_ended(lost, &after)),
-            Call::Claimed { lost } => encode(&self.claimed(lost)),
-            Call::Leaving { disk } => encode(&self.peer_leaves(disk)),
+            Call::Inherit { lost, after } => encode(&self.takeover_piece(lost, &after)),
+            Call::InheritEnded { lost, after } => encode(&self.finished_takeover_piece(lost, &after)),
+            Call::Claimed { lost } => encode(&self.release_lost_copies(lost)),
+            Call::Leaving { disk } => encode(&self.on_peer_departure(disk)),
             Call::Lacking { owner, ids } => encode(&custody::lacking_of(&self.queue.borrow(), owner, &ids)),
             Call::Preserve { owner, preserved } => encode(&self.preserve_for(owner, preserved).await),
             Call::Decided { ids } => encode(&custody::decided(&self.queue.borrow(), ids)),
-            Call::HandBack { owner, given, anyway } => encode(&self.take_back(owner, given, anyway).await),
-            Call::HandBackEnded { owner, given } => encode(&self.take_back_ended(owner, given).await),
-            Call::Leave { id, to } => encode(&self.leave_one(&id, to)),
+            Call::HandBack { owner, given, anyway } => {
+                encode(&self.accept_hand_back(owner, given, anyway).await)
+            }
+            Call::HandBackEnded { owner, given } => {
+                encode(&self.accept_finished_hand_back(owner, given).await)
+            }
+            Call::Leave { id, to } => encode(&self.on_relinquish_request(&id, to)),
             Call::Owns { id } => encode(&self.queue.borrow().owned(&id).is_some()),
             Call::Lend { service, permits } => encode(&self.lend(&service, permits)),
-            Call::Count(request) => encode(&self.count_for(request)),
+            Call::Count(request) => encode(&self.count_for_peer(request)),
             Call::Ping => encode(&true),
-            Call::Find { id, body } => encode(&self.find(&id, body)),
+            Call::Find { id, body } => encode(&self.find_message(&id, body)),
             Call::Status => encode(&self.status()),
             Call::Watch(..) | Call::Group(_) => Vec::new(),
         }
     }
 
-    /// Nothing is kept for it: it isn't a store any more, or was given up.
+    /// Whether records of a store are refused because it was declared lost or its takeover has begun.
     pub(super) fn is_refused(&self, owner: u64) -> bool {
-        self.known.store(owner).is_none() || self.queue.borrow().fenced().contains(&owner)
+        self.cluster.store(owner).is_none() || self.queue.borrow().fenced().contains(&owner)
     }
 
-    /// Keeps what another store says of its messages; false if that isn't a store any more, or has first to hear what
-    /// is kept here for it. A store that is about to stop keeps no more messages, but ends of those that it has.
-    async fn keep(self: &Rc<Self>, owner: u64, session: u64, entries: Vec<Entry>) -> bool {
+    /// Stores another store's records of its messages. Refused if that store was declared lost, must
+    /// reconcile first, or sends in an outdated session. A store that is about to stop accepts no more
+    /// messages, but still the final records of those that it has.
+    async fn keep_records(self: &Rc<Self>, owner: u64, session: u64, entries: Vec<Entry>) -> bool {
         self.absences.borrow_mut().heard(owner, self.clock.ms());
         if self.is_refused(owner) || self.absences.borrow().must_reconcile(owner) {
             return false;
         }
         if self.sessions.borrow().get(&owner) != Some(&session) {
-            log::info!("records of disk {owner:016x} come behind its last comparison: refused");
+            log::info!("refused records of disk {owner:016x}: they are not of its current session");
             return false;
         }
-        if self.closing.get() || (self.paused.get() && entries.iter().any(Entry::has_message)) {
+        if self.log_closed.get() || (self.paused.get() && entries.iter().any(Entry::has_message)) {
             return false;
         }
         let entries = self.finish_own(entries);
-        let (kept, must_last) = custody::keep(&mut self.queue.borrow_mut(), owner, entries);
-        if must_last {
+        let (kept, must_be_durable) = custody::keep(&mut self.queue.borrow_mut(), owner, entries);
+        if must_be_durable {
             return self.log.write(&kept).await;
         }
-        kept.iter().for_each(|entry| self.log.note(entry));
+        kept.iter().for_each(|entry| self.log.write_later(entry));
         true
     }
 
-    /// Ends of messages that are owned here too, because an edge gave them to both stores: those that hold copies for this
-    /// one have to hear of them. Leaves the other records.
+    /// Finishes messages that are owned here too because an edge sent them to both stores: the holders of
+    /// this store's copies must learn it as well. Returns the remaining records.
     fn finish_own(self: &Rc<Self>, entries: Vec<Entry>) -> Vec<Entry> {
         let mut others = Vec::new();
         for entry in entries {
@@ -132,12 +138,12 @@
         others
     }
 
-    /// A piece of what is here of an owner's messages; nothing if that isn't known as a store.
-    fn held(&self, owner: u64, to: u64, session: u64, after: &str) -> Option<HeldFor> {
+    /// A batch of what is held here for an owner; none if the owner isn't a store.
+    fn report_held(&self, owner: u64, to: u64, session: u64, after: &str) -> Option<HeldFor> {
         if to != self.disk || self.is_refused(owner) {
             return None;
         }
-        // What was sent before is not taken from here on: it would come in behind what is told now.
+        // Records of earlier sessions are refused from here on: they would arrive after this report.
         if after.is_empty() {
             self.sessions.borrow_mut().insert(owner, session);
         } else if self.sessions.borrow().get(&owner) != Some(&session) {
@@ -146,52 +152,55 @@
         let mut absences = self.absences.borrow_mut();
         absences.heard(owner, self.clock.ms());
         let queue = self.queue.borrow();
-        let (held, more) = queue.held_for(owner).after(after, IDS_AT_ONCE);
+        let (held, more) = queue.held_for(owner).after(after, MAX_IDS_PER_CALL);
         if !more {
             absences.reconciled(owner);
         }
-        let taken = if after.is_empty() { self.promise_taken(owner) } else { Vec::new() };
-        Some(HeldFor { held, more, taken, leaving: self.leaving.get() })
+        let taken = if after.is_empty() { self.announce_accepted(owner) } else { Vec::new() };
+        Some(HeldFor { held, more, taken, leaving: self.draining.get() })
     }
 
-    /// Copies by their ids, as many of the first as fit, and how many ids that answers.
-    pub(super) fn fetch(&self, ids: &[String]) -> (Vec<Given>, u64) {
+    /// Copies by id, as many as fit one answer, and the number of ids that the answer covers.
+    pub(super) fn copies_by_id(&self, ids: &[String]) -> (Vec<Given>, u64) {
         let queue = self.queue.borrow();
         let Piece { given, more } =
-            live_piece(ids.iter().filter_map(|id| queue.replica(id)).map(Given::from));
+            message_batch(ids.iter().filter_map(|id| queue.replica(id)).map(Given::from));
         let last = given.last().map(|given| given.message.id());
-        let asked = match more {
+        let processed = match more {
             true => ids.iter().position(|id| Some(id.as_str()) == last).map_or(ids.len(), |at| at + 1),
             false => ids.len(),
         };
-        (given, asked as u64)
+        (given, processed as u64)
     }
 
-    /// Nothing of a lost store is kept from now on, after a restart neither; false if that can't be said.
+    /// Stops accepting records of a lost store, durably; false if that fails.
     pub(super) async fn claim(&self, lost: u64) -> bool {
-        if self.closing.get() {
+        if self.log_closed.get() {
             return false;
         }
         let known = self.queue.borrow().fenced().contains(&lost);
         self.queue.borrow_mut().fence(lost);
-        let fence = [Entry::Fenced { disk: lost }];
-        self.log.write(if known { &[] } else { &fence }).await
+        let fence_record = [Entry::Fenced { disk: lost }];
+        self.log.write(if known { &[] } else { &fence_record }).await
     }
 
-    /// A piece of the copies that are kept of a lost store, once nothing more comes from it.
-    pub(super) fn inherit(&self, lost: u64, after: &str) -> Option<Piece> {
+    /// A batch of the copies held for a lost store, once its records are refused.
+    pub(super) fn takeover_piece(&self, lost: u64, after: &str) -> Option<Piece> {
         let queue = self.queue.borrow();
-        queue.fenced().contains(&lost).then(|| live_piece(queue.replicas_after(lost, after).map(Given::from)))
+        queue
+            .fenced()
+            .contains(&lost)
+            .then(|| message_batch(queue.replicas_after(lost, after).map(Given::from)))
     }
 
-    /// A piece of what is kept of a lost store's messages that have ended, once nothing more comes from it.
-    pub(super) fn inherit_ended(&self, lost: u64, after: &str) -> Option<EndedPiece> {
+    /// A batch of the finished messages held for a lost store, once its records are refused.
+    pub(super) fn finished_takeover_piece(&self, lost: u64, after: &str) -> Option<EndedPiece> {
         let queue = self.queue.borrow();
-        queue.fenced().contains(&lost).then(|| ended_piece(queue.ended_after(lost, after)))
+        queue.fenced().contains(&lost).then(|| finished_batch(queue.ended_after(lost, after)))
     }
 
-    fn claimed(&self, lost: u64) -> bool {
-        if self.closing.get() {
+    fn release_lost_copies(&self, lost: u64) -> bool {
+        if self.log_closed.get() {
             return false;
         }
         let mut queue = self.queue.borrow_mut();
@@ -200,21 +209,21 @@
         let ids: Vec<String> = live.chain(ended).collect();
         for id in ids {
             queue.drop_replica_of(lost, &id);
-            self.log.note(&Entry::Dropped { owner: lost, id });
+            self.log.write_later(&Entry::Dropped { owner: lost, id });
         }
         true
     }
 
-    fn find(&self, id: &str, body: bool) -> Found {
+    fn find_message(&self, id: &str, body: bool) -> Found {
         let queue = self.queue.borrow();
         let message = queue.message(id);
         let body = message.filter(|_| body).and_then(|message| self.sound_body(message));
         let known = queue.owned(id).is_some() || message.is_some();
-        Found { known, holder: holder(&queue, id), end: queue.end_of(id), body }
+        Found { known, holder: tenant_of(&queue, id), end: queue.end_of(id), body }
     }
 
-    /// Those of some messages' ends that are known here.
-    pub(super) fn ends(&self, ids: &[String]) -> Vec<End> {
+    /// Final records that are known here for some messages.
+    pub(super) fn final_records(&self, ids: &[String]) -> Vec<End> {
         let queue = self.queue.borrow();
         ids.iter().filter_map(|id| queue.end_of(id)).collect()
     }
@@ -224,14 +233,14 @@
         let oldest = self.queue.borrow().oldest().map(|at| process::wall_ms().saturating_sub(at));
         let status = serde_json::json!({
             "node": self.settings.node_name, "disk": format!("{:016x}", self.disk),
-            "version": self.known.version(), "stores": self.known.stores().epoch,
+            "version": self.cluster.version(), "stores": self.cluster.stores().epoch,
             "waiting": waiting, "running": running, "ended": ended, "copies": replicas,
             "oldest_ms": oldest, "backlog": self.backlog(), "free_ring": self.log.free_share(),
-            "taking_over": self.inheriting.borrow().len(),
+            "taking_over": self.takeovers.borrow().len(),
             "operations": self.reservations.counts().as_json(),
             "zone": self.location.zone, "region": self.location.region,
             "tolerance_unmet": self.unmet_tolerance(), "traffic": traffic::as_json(&self.traffic()),
-            "endpoints": self.endpoints.borrow().show(),
+            "endpoints": self.endpoints.borrow().status_json(),
             "tenants_near_limits": self.tenants_near_limits(),
         });
         status.to_string()
--- a/crates/node/src/store/takeover.rs
+++ b/crates/node/src/store/takeover.rs
@@ -1,6 +1,7 @@
-//! Taking over what a lost store owned: all active stores give what they keep of it, then its messages run here.
-use super::decided::Patience;
-use super::{some_of, Store};
+//! Takeover from a lost store: all active stores hand over their copies of its messages, and this store
+//! then owns and delivers them. Also contains how messages are finished.
+use super::ownership::RetryPolicy;
+use super::{summarize_ids, Store};
 use crate::calls::{Call, EndedPiece, Piece};
 use net::runtime;
 use queue::{custody, End, EndedMessage, Entry, Envelope, Given, GivenEnded, Message, Outcome, OwnedMessage};
@@ -8,19 +9,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const CLAIM: Duration = Duration::from_millis(3_000);
-const PAUSE: Duration = Duration::from_millis(150);
+/// Timeout for a call of a takeover.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay after a failed call or write, and between checks for missing copies.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// How far this store is with taking over from a lost one.
+/// Progress of a takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inheriting {
-    /// The others are asked for messages that they kept and that have not ended.
+pub enum TakeoverStep {
+    /// Collects unfinished messages from the other stores.
     Collecting,
-    /// The others are asked for messages that have ended.
-    CollectingEnded,
-    /// All that the others kept is here; it is copied to as many stores as it has to be.
+    /// Collects finished messages from the other stores.
+    CollectingFinished,
+    /// All messages are collected; they are copied until they have all their copies.
     Copying,
-    /// All is safe here; the others are told to drop what they kept.
+    /// All messages have all their copies; the other stores are told to drop theirs for the lost store.
     Releasing,
 }
 
@@ -32,174 +35,179 @@
 }
 
 impl Store {
-    /// Takes over from a lost store: first all others keep nothing for it any more, then they give what they kept, piece by
-    /// piece.
+    /// Takes over from a lost store: first all stores stop accepting its records, then they hand over what
+    /// they hold, batch by batch.
     pub async fn take_over(self: Rc<Self>, lost: u64) {
         while !self.claim(lost).await {
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
         let mut asked: Vec<u64> = vec![self.disk];
-        while let Some(next) = self.next_active(&asked) {
+        while let Some(next) = self.next_unasked(&asked) {
             let to = SocketAddr::new(next.ip, self.port);
-            match self.peers.call::<Call, bool>(to, &Call::Claim { lost }, CLAIM).await {
+            match self.peers.call::<Call, bool>(to, &Call::Claim { lost }, CLAIM_TIMEOUT).await {
                 Ok(true) => asked.push(next.disk),
-                _ => runtime::sleep(PAUSE).await,
+                _ => runtime::sleep(RETRY_DELAY).await,
             }
         }
         for disk in &asked {
-            self.inherit_from(*disk, lost).await;
+            self.collect_from(*disk, lost).await;
         }
         while self.lacks_live_copies() {
             self.needs_repair.set(true);
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
-        self.inheriting.borrow_mut().insert(lost, Inheriting::CollectingEnded);
-        self.work.notify();
+        self.takeovers.borrow_mut().insert(lost, TakeoverStep::CollectingFinished);
+        self.delivery_wake.notify();
         for disk in &asked {
-            self.inherit_ended_from(*disk, lost).await;
+            self.collect_finished_from(*disk, lost).await;
         }
-        self.inheriting.borrow_mut().insert(lost, Inheriting::Copying);
-        self.work.notify();
+        self.takeovers.borrow_mut().insert(lost, TakeoverStep::Copying);
+        self.delivery_wake.notify();
         while self.lacks_copies() {
             self.needs_repair.set(true);
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
-        self.inheriting.borrow_mut().insert(lost, Inheriting::Releasing);
-        self.inherited.borrow_mut().insert(lost);
-        self.work.notify();
-        log::info!("took over from a lost store");
+        self.takeovers.borrow_mut().insert(lost, TakeoverStep::Releasing);
+        self.taken_over.borrow_mut().insert(lost);
+        self.delivery_wake.notify();
+        log::info!("takeover from a lost store is complete");
         for disk in asked {
-            self.release(disk, lost).await;
+            self.notify_completed(disk, lost).await;
         }
-        // A later process needn't ask all others again before it decides on keys.
+        // Recorded so that a later process can decide about operation keys without asking all other stores
+        // again.
         self.queue.borrow_mut().has_taken_over(lost);
-        self.log.note(&Entry::TakenOver { disk: lost });
-        self.inheriting.borrow_mut().remove(&lost);
+        self.log.write_later(&Entry::TakenOver { disk: lost });
+        self.takeovers.borrow_mut().remove(&lost);
     }
 
-    /// Tells a store that it needn't keep copies for a lost one any more, until it knows or is lost itself: a copy that
-    /// stays would be found again by the next heir.
-    async fn release(&self, disk: u64, lost: u64) {
-        while let Some(store) = self.known.store(disk) {
+    /// Tells a store to drop its copies for a lost store, until it confirms or is lost itself. A remaining
+    /// copy would be found again by the next successor.
+    async fn notify_completed(&self, disk: u64, lost: u64) {
+        while let Some(store) = self.cluster.store(disk) {
             let to = SocketAddr::new(store.ip, self.port);
             let call = Call::Claimed { lost };
-            if self.peers.call::<Call, bool>(to, &call, CLAIM).await == Ok(true) {
+            if self.peers.call::<Call, bool>(to, &call, CLAIM_TIMEOUT).await == Ok(true) {
                 return;
             }
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Something of a lost store is still to be taken over, or to be dropped elsewhere.
+    /// Whether a takeover is in progress.
     pub fn is_taking_over(&self) -> bool {
-        !self.inheriting.borrow().is_empty()
+        !self.takeovers.borrow().is_empty()
     }
 
-    /// Not all messages are here yet that lost stores owned and that have not ended.
-    pub fn lacks_inheritance(&self) -> bool {
-        self.inheriting.borrow().values().any(|step| *step == Inheriting::Collecting)
+    /// Whether unfinished messages of a lost store are still being collected.
+    pub fn lacks_taken_over_messages(&self) -> bool {
+        self.takeovers.borrow().values().any(|step| *step == TakeoverStep::Collecting)
     }
 
-    /// Not all that lost stores owned is here yet, live or ended.
-    pub fn collects_inheritance(&self) -> bool {
+    /// Whether any messages of a lost store, unfinished or finished, are still being collected.
+    pub fn is_collecting_takeovers(&self) -> bool {
         let collects =
-            |step: &Inheriting| matches!(step, Inheriting::Collecting | Inheriting::CollectingEnded);
-        self.inheriting.borrow().values().any(collects)
+            |step: &TakeoverStep| matches!(step, TakeoverStep::Collecting | TakeoverStep::CollectingFinished);
+        self.takeovers.borrow().values().any(collects)
     }
 
-    /// An active store that is not among these.
-    fn next_active(&self, asked: &[u64]) -> Option<control::Store> {
-        let stores = self.known.stores();
+    /// An active store that isn't in `asked`.
+    fn next_unasked(&self, asked: &[u64]) -> Option<control::Store> {
+        let stores = self.cluster.stores();
         let next = stores.active().find(|store| !asked.contains(&store.disk)).cloned();
         next
     }
 
-    /// Takes what a store kept of a lost one's messages, piece by piece; less if that store is lost meanwhile.
-    async fn inherit_from(self: &Rc<Self>, disk: u64, lost: u64) {
+    /// Collects a store's copies of a lost store's unfinished messages, batch by batch; stops early if that
+    /// store is lost too.
+    async fn collect_from(self: &Rc<Self>, disk: u64, lost: u64) {
         let mut after = String::new();
-        let (mut count, mut decided) = (0, Vec::new());
+        let (mut count, mut resolved) = (0, Vec::new());
         loop {
             let piece = match disk == self.disk {
-                true => self.inherit(lost, &after),
+                true => self.takeover_piece(lost, &after),
                 false => {
-                    let Some(store) = self.known.store(disk) else { break };
+                    let Some(store) = self.cluster.store(disk) else { break };
                     let to = SocketAddr::new(store.ip, self.port);
                     let call = Call::Inherit { lost, after: after.clone() };
-                    self.peers.call::<Call, Option<Piece>>(to, &call, CLAIM).await.unwrap_or(None)
+                    self.peers.call::<Call, Option<Piece>>(to, &call, CLAIM_TIMEOUT).await.unwrap_or(None)
                 }
             };
             let Some(Piece { given, more }) = piece else {
-                runtime::sleep(PAUSE).await;
+                runtime::sleep(RETRY_DELAY).await;
                 continue;
             };
             count += given.len();
             after = given.last().map_or(after, |given| given.message.id().to_string());
-            let parted = self.part(given, Patience::UntilAnswered).await;
-            decided.extend(parted.elsewhere);
-            self.adopt(parted.open, None).await;
+            let classified = self.classify(given, RetryPolicy::UntilLost).await;
+            resolved.extend(classified.resolved_elsewhere);
+            self.adopt(classified.unresolved, None).await;
             if !more {
                 break;
             }
         }
-        log::info!("{count} messages of a lost store come from disk {disk:016x}");
-        if !decided.is_empty() {
-            log::info!("of these others own or know as ended: {}", some_of(&decided));
+        log::info!("collected {count} messages of a lost store from disk {disk:016x}");
+        if !resolved.is_empty() {
+            log::info!("of these, other stores own or know as finished: {}", summarize_ids(&resolved));
         }
     }
 
-    /// Takes what a store kept of a lost one's messages that have ended, piece by piece.
-    async fn inherit_ended_from(self: &Rc<Self>, disk: u64, lost: u64) {
+    /// Collects a store's copies of a lost store's finished messages, batch by batch.
+    async fn collect_finished_from(self: &Rc<Self>, disk: u64, lost: u64) {
         let mut after = String::new();
-        while let Some(store) = self.known.store(disk) {
+        while let Some(store) = self.cluster.store(disk) {
             let piece = match disk == self.disk {
-                true => self.inherit_ended(lost, &after),
+                true => self.finished_takeover_piece(lost, &after),
                 false => {
                     let to = SocketAddr::new(store.ip, self.port);
                     let call = Call::InheritEnded { lost, after: after.clone() };
-                    self.peers.call::<Call, Option<EndedPiece>>(to, &call, CLAIM).await.unwrap_or(None)
+                    self.peers
+                        .call::<Call, Option<EndedPiece>>(to, &call, CLAIM_TIMEOUT)
+                        .await
+                        .unwrap_or(None)
                 }
             };
             let Some(EndedPiece { given, more }) = piece else {
-                runtime::sleep(PAUSE).await;
+                runtime::sleep(RETRY_DELAY).await;
                 continue;
             };
             after = given.last().map_or(after, |given| given.ended.id().to_string());
-            self.adopt_ended(given).await;
+            self.adopt_finished(given).await;
             if !more {
                 return;
             }
         }
     }
 
-    /// Owns messages that have ended from now on, with what is owed of them.
-    pub(super) async fn adopt_ended(self: &Rc<Self>, given: Vec<GivenEnded>) {
+    /// Adopts finished messages together with what they still owe.
+    pub(super) async fn adopt_finished(self: &Rc<Self>, given: Vec<GivenEnded>) {
         let given = self.with_sound_bodies(given, dead_letter_of).await;
         let is_live = |given: &GivenEnded| {
             self.queue.borrow().owned(given.ended.id()).is_some_and(|owned| owned.is_live())
         };
         let (live, ended): (Vec<GivenEnded>, Vec<GivenEnded>) = given.into_iter().partition(is_live);
         live.iter().for_each(|given| self.finish(given.ended.end()));
-        self.leave_rivals_of(&ended);
+        self.relinquish_duplicates_of(&ended);
         let (entries, new) = custody::adopt_ended(&mut self.queue.borrow_mut(), ended);
         while !entries.is_empty() && !self.log.write(&entries).await {
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
         if new.is_empty() {
             return;
         }
         let owing: Vec<&GivenEnded> = new.iter().filter(|given| !given.called_back).collect();
-        log::info!("{} ended messages of another store are kept, {} call-backs owed", new.len(), owing.len());
-        owing.iter().for_each(|given| self.call_back(given.ended.envelope(), &given.ended.outcome()));
+        log::info!("adopted {} finished messages, {} call-backs owed", new.len(), owing.len());
+        owing.iter().for_each(|given| self.queue_callback(given.ended.envelope(), &given.ended.outcome()));
         self.needs_repair.set(true);
     }
 
-    /// Owns messages from now on, and lets them run; `copy` already holds them.
+    /// Adopts messages and releases them for delivery. `copy` is a store that already holds a copy.
     pub async fn adopt(self: &Rc<Self>, given: Vec<Given>, copy: Option<u64>) {
         let given = self.with_sound_bodies(given, |given| Some(&mut given.message)).await;
         let given = self.settle_operations(given);
         let (entries, ids) = custody::adopt(&mut self.queue.borrow_mut(), given);
         while !entries.is_empty() && !self.log.write(&entries).await {
-            runtime::sleep(PAUSE).await;
+            runtime::sleep(RETRY_DELAY).await;
         }
         for id in ids {
             let mut queue = self.queue.borrow_mut();
@@ -210,40 +218,42 @@
             if message.envelope.also_at.is_empty() {
                 queue.accept(&id);
             } else {
-                self.taking.set(self.taking.get() + 1);
-                runtime::spawn(self.clone().accept(message));
+                self.pending_accepts.set(self.pending_accepts.get() + 1);
+                runtime::spawn(self.clone().activate(message));
             }
         }
         self.needs_repair.set(true);
-        self.work.notify();
+        self.delivery_wake.notify();
     }
 
-    /// Ends a message: on the disk, at the copies, and by call-back.
+    /// Finishes a message: writes the final record, sends it to the holders of copies, and queues the
+    /// call-back.
     pub fn finish(self: &Rc<Self>, end: End) {
         let id = end.id.clone();
         if !self.queue.borrow_mut().end(end.clone()) {
             return;
         }
-        self.tell_copies(&id, &Entry::Ended(end.clone()));
-        self.look_after_ended(&id);
-        let owes =
+        self.send_to_holders(&id, &Entry::Ended(end.clone()));
+        self.ensure_finished_copies(&id);
+        let callback_envelope =
             self.queue.borrow().owned(&id).filter(|owned| owned.owes_callback).map(|o| o.envelope().clone());
-        match owes {
+        match callback_envelope {
             Some(envelope) => {
                 let store = self.clone();
                 runtime::spawn(async move {
                     while !store.log.write(&[Entry::Ended(end.clone())]).await {
-                        runtime::sleep(PAUSE).await;
+                        runtime::sleep(RETRY_DELAY).await;
                     }
-                    store.call_back(&envelope, &end.outcome);
+                    store.queue_callback(&envelope, &end.outcome);
                 });
             }
-            None => self.log.note(&Entry::Ended(end)),
+            None => self.log.write_later(&Entry::Ended(end)),
         }
     }
 
-    /// A message that ended before it had all its copies gets the rest, if something of it is owed.
-    fn look_after_ended(&self, id: &str) {
+    /// A message may finish before it has all its copies; if it still owes something, the missing copies
+    /// are made.
+    fn ensure_finished_copies(&self, id: &str) {
         let (queue, placement) = (self.queue.borrow(), self.placement());
         let owing = queue.owned(id).filter(|owned| owned.owes_after_end());
         if owing.is_some_and(|owned| placement.missing(&owned.copies) > 0) {
@@ -251,25 +261,25 @@
         }
     }
 
-    fn call_back(self: &Rc<Self>, envelope: &Envelope, outcome: &Outcome) {
+    fn queue_callback(self: &Rc<Self>, envelope: &Envelope, outcome: &Outcome) {
         if let Some(url) = &envelope.callback {
             self.callbacks.push(self.clone(), url, &envelope.id, outcome);
         }
     }
 
-    /// Call-backs that were owed when the process ended.
-    pub fn owed_callbacks(self: &Rc<Self>) {
+    /// Queues the call-backs that were still owed when the last process ended.
+    pub fn resume_callbacks(self: &Rc<Self>) {
         let owed: Vec<EndedMessage> = {
             let queue = self.queue.borrow();
             let owing = queue.all_owned().filter(|owned| owned.owes_callback);
             owing.filter_map(OwnedMessage::ended_message).cloned().collect()
         };
-        owed.iter().for_each(|ended| self.call_back(ended.envelope(), &ended.outcome()));
+        owed.iter().for_each(|ended| self.queue_callback(ended.envelope(), &ended.outcome()));
     }
 
-    /// Tells the stores that hold copies of a message what happened to it.
-    pub fn tell_copies(&self, id: &str, entry: &Entry) {
-        self.tell(&self.holders(id), entry);
+    /// Sends a record to the stores that hold copies of a message.
+    pub fn send_to_holders(&self, id: &str, entry: &Entry) {
+        self.send_to(&self.holders(id), entry);
     }
 
     /// Stores that may hold a copy of a message.
@@ -278,11 +288,11 @@
         queue.owned(id).map_or(Vec::new(), |known| known.holders().into_iter().collect())
     }
 
-    /// Tells stores a record.
-    pub fn tell(&self, holders: &[u64], entry: &Entry) {
-        let copiers = self.copiers.borrow();
-        for copier in holders.iter().filter_map(|disk| copiers.get(disk)) {
-            copier.tell(entry.clone());
+    /// Sends a record to the given stores.
+    pub fn send_to(&self, holders: &[u64], entry: &Entry) {
+        let replicators = self.replicators.borrow();
+        for replicator in holders.iter().filter_map(|disk| replicators.get(disk)) {
+            replicator.enqueue(entry.clone());
         }
     }
 }
--- a/crates/node/tests/delivery.rs
+++ b/crates/node/tests/delivery.rs
@@ -20,18 +20,18 @@
 }
 
 #[rstest]
-#[case::success("200 OK", "X-Server-Signature: s", Verdict::Done("s".to_string()))]
+#[case::success("200 OK", "X-Server-Signature: s", Verdict::Completed("s".to_string()))]
 #[case::success_without_signature("200 OK", "X-Other: s", Verdict::Unknown)]
 #[case::anothers_success("200 OK", "X-Server-Signature: s\r\nX-Request-Id: other", Verdict::Unknown)]
-#[case::own_success("200 OK", "X-Server-Signature: s\r\nX-Request-Id: m", Verdict::Done("s".to_string()))]
-#[case::never("422 Unprocessable", "X-A: 1", Verdict::Never)]
+#[case::own_success("200 OK", "X-Server-Signature: s\r\nX-Request-Id: m", Verdict::Completed("s".to_string()))]
+#[case::never("422 Unprocessable", "X-A: 1", Verdict::Rejected)]
 #[case::failed("500 Error", "X-A: 1", Verdict::Failed)]
-#[case::failed_before_it_ran("500 Error", "X-Not-Executed: 1", Verdict::NotRun)]
-#[case::full("503 Full", "X-Not-Executed: 1", Verdict::NotRun)]
+#[case::failed_before_it_ran("500 Error", "X-Not-Executed: 1", Verdict::NotExecuted)]
+#[case::full("503 Full", "X-Not-Executed: 1", Verdict::NotExecuted)]
 #[case::unavailable("503 Unavailable", "X-A: 1", Verdict::Unknown)]
-#[case::in_progress("409 Conflict", "X-Not-Executed: 1", Verdict::NotRun)]
-#[case::too_many("429 Many", "X-Not-Executed: 1", Verdict::NotRun)]
-#[case::moved("421 Misdirected", "X-A: 1", Verdict::Moved)]
+#[case::in_progress("409 Conflict", "X-Not-Executed: 1", Verdict::NotExecuted)]
+#[case::too_many("429 Many", "X-Not-Executed: 1", Verdict::NotExecuted)]
+#[case::moved("421 Misdirected", "X-A: 1", Verdict::WrongInstance)]
 #[case::ran_out_of_time("504 Timeout", "X-A: 1", Verdict::Unknown)]
 fn an_answer_is_read_for_what_it_says(#[case] status: &str, #[case] headers: &str, #[case] told: Verdict) {
     let bytes = format!("HTTP/1.1 {status}\r\n{headers}\r\nContent-Length: 0\r\n\r\n");
@@ -39,7 +39,7 @@
 }
 
 #[rstest]
-#[case(CallError::NotSent, Verdict::NotRun)]
+#[case(CallError::NotSent, Verdict::NotExecuted)]
 #[case(CallError::KeptBroke, Verdict::Unknown)]
 #[case(CallError::Broke, Verdict::Unknown)]
 #[case(CallError::TimedOut, Verdict::Unknown)]
@@ -81,10 +81,10 @@
 
 fn begin(endpoints: &mut Endpoints, now: u64) -> Option<Call> {
     let at = endpoints.pick("s", &here(), now)?;
-    let (address, instance, level) = endpoints.begin("s", at, 0, now as i64 * 1_000_000);
+    let (address, instance, concurrency) = endpoints.begin("s", at, 0, now as i64 * 1_000_000);
     let classes = endpoints.deadlines(&configuration(), "s");
-    let began = now as i64 * 1_000_000;
-    Some(Call { service: "s".to_string(), address, instance, class: 0, classes, level, began })
+    let started_at_ns = now as i64 * 1_000_000;
+    Some(Call { service: "s".to_string(), address, instance, class: 0, classes, concurrency, started_at_ns })
 }
 
 fn finish(endpoints: &mut Endpoints, call: &Call, outcome: Outcome, now: u64) {
@@ -126,7 +126,7 @@
     assert!(begin(&mut endpoints, 3).is_none());
     finish(&mut endpoints, &call, Outcome::Served, 4);
     update(&mut endpoints, &[]);
-    assert!(!endpoints.knows(&call.address));
+    assert!(!endpoints.contains_address(&call.address));
 }
 
 #[test]
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -1,6 +1,6 @@
 //! A store's log over files that were given up: what a start reads first.
 use futures_channel::oneshot;
-use node::store::log::{carry_out, read, Job};
+use node::store::log::{execute, open_ring, DiskJob};
 use queue::{Entry, Envelope, Message, Queue};
 use ringlog::{Ring, Shape};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 
 fn append(ring: &mut Ring<Memory>, entry: &Entry) {
     let (sender, mut receiver) = oneshot::channel();
-    carry_out(ring, Job::Append(vec![borsh::to_vec(entry).unwrap()], sender));
+    execute(ring, DiskJob::Append(vec![borsh::to_vec(entry).unwrap()], sender));
     assert!(matches!(receiver.try_recv(), Ok(Some(Ok(_)))));
 }
 
@@ -27,9 +27,9 @@
 #[case::planted_only_the_first_does(false, 0)]
 fn own_messages_stay_own_though_the_first_file_was_given_up(#[case] begins: bool, #[case] own: usize) {
     let memory = Memory::new(SHAPE.segments);
-    let (mut ring, _) = read(memory.clone(), SHAPE, &mut |_| {}).unwrap();
+    let (mut ring, _) = open_ring(memory.clone(), SHAPE, &mut |_| {}).unwrap();
     if begins {
-        carry_out(&mut ring, Job::BeginWith(borsh::to_vec(&Entry::Disk(DISK)).unwrap()));
+        execute(&mut ring, DiskJob::SetPreamble(borsh::to_vec(&Entry::Disk(DISK)).unwrap()));
     }
     append(&mut ring, &Entry::Disk(DISK));
     let first = ring.oldest();
@@ -43,13 +43,13 @@
     }
     append(&mut ring, &Entry::Disk(DISK));
     let oldest = ring.oldest().unwrap();
-    carry_out(&mut ring, Job::Release(oldest));
+    execute(&mut ring, DiskJob::Release(oldest));
     while ring.oldest().is_some_and(|oldest| oldest < 4) && ring.free() > 1 {
         append(&mut ring, &Entry::Failed { id: "over".to_string(), attempts: 1 });
     }
     drop(ring);
     let mut queue = Queue::default();
-    read(memory, SHAPE, &mut |entry| queue.recover(entry)).unwrap();
+    open_ring(memory, SHAPE, &mut |entry| queue.recover(entry)).unwrap();
     assert_eq!(queue.disk(), DISK);
     assert_eq!(queue.all_owned().count(), own);
 }
