--- a/crates/node/tests/model/machine.rs
+++ b/crates/node/tests/model/machine.rs
@@ -5,8 +5,8 @@
 use net::rpc::Peers;
 use net::runtime::sleep;
 use node::process::{Clock, Process};
-use node::store::log::{carry_out, read, Disk, Job, Log};
-use node::store::{Store, Surroundings};
+use node::store::log::{execute, open_ring, Disk, DiskJob, Log};
+use node::store::{Store, StoreClients};
 use queue::{Entry, Queue};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -82,16 +82,16 @@
     /// Its state, for a report.
     pub fn describe(&self) -> String {
         let Some(store) = self.store() else { return format!("{}: removed {}", self.name, self.removed) };
-        let copiers: Vec<String> = store
-            .copiers
+        let replicators: Vec<String> = store
+            .replicators
             .borrow()
             .values()
-            .map(|copier| {
+            .map(|replicator| {
                 format!(
                     "{:016x} settled {} leaving {}",
-                    copier.disk,
-                    copier.is_settled(),
-                    copier.is_leaving()
+                    replicator.disk,
+                    replicator.is_ready(),
+                    replicator.is_draining()
                 )
             })
             .collect();
@@ -101,14 +101,14 @@
             self.name,
             store.disk,
             store.queue.borrow().counts(),
-            store.leaving.get(),
+            store.draining.get(),
             store.paused.get(),
             store.needs_repair.get(),
             store.lacks_copies(),
-            store.taking.get(),
-            store.running.get(),
-            store.inheriting.borrow(),
-            copiers.join(", ")
+            store.pending_accepts.get(),
+            store.running_deliveries.get(),
+            store.takeovers.borrow(),
+            replicators.join(", ")
         )
     }
 
@@ -153,16 +153,16 @@
                     queue.recover(entry);
                 }
             };
-            let (ring, found) = read(memory, SHAPE, &mut fold).unwrap();
+            let (ring, found) = open_ring(memory, SHAPE, &mut fold).unwrap();
             let device = Device::new(ring, seed);
             *device_place.borrow_mut() = Some(device.clone());
             let process = Process { settings, clock: Clock::start(), stopping };
-            let surroundings = Surroundings {
+            let clients = StoreClients {
                 peers: Peers::on(network.transport(id, ip)),
                 endpoints: Client::on(endpoints.reached_by(&name)),
                 receivers: Client::on(endpoints.reached_by(&name)),
             };
-            let opened = Store::open(&process, queue, Log::on(Rc::new(device), found), surroundings);
+            let opened = Store::open(&process, queue, Log::with_disk(Rc::new(device), found), clients);
             let opened = opened.await.unwrap();
             *store.borrow_mut() = Some(opened.clone());
             let answering = opened.clone();
@@ -209,7 +209,7 @@
 
 struct DeviceState {
     ring: RefCell<Ring<Memory>>,
-    jobs: RefCell<VecDeque<Job>>,
+    jobs: RefCell<VecDeque<DiskJob>>,
     works: Cell<bool>,
     lot: RefCell<Pcg64Mcg>,
 }
@@ -234,14 +234,14 @@
         while !self.0.jobs.borrow().is_empty() {
             sleep(self.sync_time()).await;
             let job = self.0.jobs.borrow_mut().pop_front().expect("seen above");
-            carry_out(&mut self.0.ring.borrow_mut(), job);
+            execute(&mut self.0.ring.borrow_mut(), job);
         }
         self.0.works.set(false);
     }
 
     /// The process is gone: what was being written is there or not, and isn't synced.
     fn abandon(&self, lot: &mut Pcg64Mcg) {
-        if let Some(Job::Append(payloads, _)) = self.0.jobs.borrow_mut().pop_front() {
+        if let Some(DiskJob::Append(payloads, _)) = self.0.jobs.borrow_mut().pop_front() {
             if lot.random_bool(0.5) {
                 let _ = self.0.ring.borrow_mut().append(&payloads);
             }
@@ -250,7 +250,7 @@
 }
 
 impl Disk for Device {
-    fn submit(&self, job: Job) {
+    fn submit(&self, job: DiskJob) {
         self.0.jobs.borrow_mut().push_back(job);
         if !self.0.works.replace(true) {
             net::runtime::spawn(self.clone().work());
--- a/crates/node/tests/preference.rs
+++ b/crates/node/tests/preference.rs
@@ -1,5 +1,5 @@
 //! The order in which stores are asked for copies.
-use node::store::copies::in_preference;
+use node::store::copies::sort_by_preference;
 use settings::Distance;
 use std::cell::Cell;
 
@@ -13,12 +13,12 @@
             ("near too", Distance::SameZone),
             ("in the region", Distance::SameRegion),
         ];
-        in_preference(&mut stores, turn, |store| store.0 == "late", |store| store.1);
+        sort_by_preference(&mut stores, turn, |store| store.0 == "late", |store| store.1);
         stores.into_iter().map(|store| store.0).collect::<Vec<_>>()
     };
     assert_eq!(order(0), ["near", "near too", "in the region", "far", "late"]);
     assert_eq!(order(3), ["near too", "near", "in the region", "far", "late"]);
-    in_preference::<u8>(&mut [], 7, |_| true, |_| Distance::SameZone);
+    sort_by_preference::<u8>(&mut [], 7, |_| true, |_| Distance::SameZone);
 }
 
 /// Whether a store is late changes while the order is made: a sort that asked twice panicked.
@@ -33,7 +33,7 @@
             lot.get().is_multiple_of(2)
         };
         let mut stores: Vec<usize> = (0..40).collect();
-        in_preference(&mut stores, 1, flips, |_| Distance::SameZone);
+        sort_by_preference(&mut stores, 1, flips, |_| Distance::SameZone);
         stores.sort_unstable();
         assert_eq!(stores, (0..40).collect::<Vec<_>>());
     }
--- a/crates/node/tests/preserve.rs
+++ b/crates/node/tests/preserve.rs
@@ -1,5 +1,5 @@
 //! Which stores are to hold a message while its owner is away, and the bounds of what goes out in one call.
-use node::store::peers::{live_piece, PIECE_BYTES};
+use node::store::rpc_handlers::{message_batch, MAX_BATCH_BYTES};
 use queue::custody::chosen;
 use queue::{Envelope, Given, Message, Placement};
 use rstest::rstest;
@@ -62,11 +62,11 @@
 
 #[test]
 fn a_piece_is_bounded_and_always_gets_on() {
-    let small = live_piece((0..10).map(|_| given(10)));
+    let small = message_batch((0..10).map(|_| given(10)));
     assert_eq!((small.given.len(), small.more), (10, false));
-    let many = live_piece((0..100_000).map(|_| given(5_000)));
-    assert!(many.more && many.given.len() <= PIECE_BYTES / 5_000 + 1);
-    let large = live_piece((0..3).map(|_| given(PIECE_BYTES * 2)));
+    let many = message_batch((0..100_000).map(|_| given(5_000)));
+    assert!(many.more && many.given.len() <= MAX_BATCH_BYTES / 5_000 + 1);
+    let large = message_batch((0..3).map(|_| given(MAX_BATCH_BYTES * 2)));
     assert_eq!((large.given.len(), large.more), (1, true));
-    assert!(!live_piece(std::iter::empty()).more);
+    assert!(!message_batch(std::iter::empty()).more);
 }
--- a/crates/node/tests/rates.rs
+++ b/crates/node/tests/rates.rs
@@ -32,14 +32,14 @@
         let arrived: Vec<_> = self.lent.iter().copied().filter(|(_, _, _, at)| *at <= now).collect();
         self.lent.retain(|(_, _, _, at)| *at > now);
         for (to, permits, asked_at, _) in arrived {
-            self.buckets[to].borrow(permits, asked_at, now);
+            self.buckets[to].add_borrowed(permits, asked_at, now);
         }
         for store in 0..self.buckets.len() {
             while self.waiting[store] > 0 && self.buckets[store].take(self.share, now).is_ok() {
                 self.waiting[store] -= 1;
                 self.sent.push(now);
             }
-            if lends && self.waiting[store] > 0 && self.buckets[store].asks(now) {
+            if lends && self.waiting[store] > 0 && self.buckets[store].should_request(now) {
                 self.ask(store, now, lot);
             }
         }
@@ -113,8 +113,8 @@
 fn permits_that_come_late_are_not_used() {
     let share = Share::new(13.0, 5.0, 13);
     let mut bucket = Bucket::new(0);
-    bucket.borrow(5, 0, 260);
+    bucket.add_borrowed(5, 0, 260);
     assert!(bucket.take(share, 260).is_err());
-    bucket.borrow(1, 300, 320);
+    bucket.add_borrowed(1, 300, 320);
     assert!(bucket.take(share, 400).is_ok());
 }
