--- a/crates/control/src/group/lease.rs
+++ b/crates/control/src/group/lease.rs
@@ -25,16 +25,16 @@
         }
     }
 
-    pub(super) fn ping(&mut self, now: Ms) -> Vec<Out> {
+    pub(super) fn ping(&mut self, now: Ms) -> Vec<Outgoing> {
         let peers = self.peers();
         let Role::Primary(primary) = &mut self.role else { return Vec::new() };
         primary.pinged = now;
-        let message = Message::Ping(primary.view.clone());
-        peers.into_iter().map(|to| Out { to, message: message.clone() }).collect()
+        let message = Message::Heartbeat(primary.view.clone());
+        peers.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
     /// Lets time pass for a primary.
-    pub(super) fn lead(&mut self, now: Ms) -> Vec<Out> {
+    pub(super) fn lead(&mut self, now: Ms) -> Vec<Outgoing> {
         let me = self.settings.me.disk;
         let Role::Primary(primary) = &self.role else { return Vec::new() };
         if !primary.lease(me, now) {
@@ -48,9 +48,11 @@
         if let Some(members) = self.better_members(now) {
             return self.prepare(Some(members), now);
         }
-        let waits = primary.committed() < self.last();
-        let (send, ping) =
-            (waits && primary.sent.is_none_or(|at| now >= at + STEP), now >= primary.pinged + PING_EVERY);
+        let waits = primary.committed_change_number() < self.last_change_number();
+        let (send, ping) = (
+            waits && primary.sent.is_none_or(|at| now >= at + STEP),
+            now >= primary.pinged + HEARTBEAT_INTERVAL,
+        );
         let mut out = if send { self.replicate(now) } else { Vec::new() };
         if ping {
             out.extend(self.ping(now));
@@ -84,36 +86,36 @@
 
     /// Begins to ask the members whether this machine leads still, for a call that came and may only be answered if it
     /// does; nothing where it doesn't lead by what it knows.
-    pub fn confirm(&self, now: Ms) -> Option<(Confirmation, Vec<Out>)> {
+    pub fn confirm_leadership(&self, now: Ms) -> Option<(LeadershipConfirmation, Vec<Outgoing>)> {
         let view = self.leads(now)?.clone();
         let me = self.settings.me.disk;
-        let message = Message::Ping(view.clone());
-        let others = view.members.iter().chain(&view.previous).filter(|member| member.disk != me);
+        let message = Message::Heartbeat(view.clone());
+        let others = view.members.iter().chain(&view.previous_members).filter(|member| member.disk != me);
         let mut ips: BTreeSet<IpAddr> = others.map(|member| member.ip).collect();
         ips.remove(&self.settings.me.ip);
-        let questions = ips.into_iter().map(|to| Out { to, message: message.clone() }).collect();
-        Some((Confirmation { view, agreed: BTreeSet::from([me]) }, questions))
+        let questions = ips.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect();
+        Some((LeadershipConfirmation { view, agreed: BTreeSet::from([me]) }, questions))
     }
 }
 
 /// A question to the members whether a machine leads, and who has said so. An answer is given after the question, so a
 /// majority of them shows that no other machine led when the call came that needs to know.
 #[derive(Clone, Debug)]
-pub struct Confirmation {
+pub struct LeadershipConfirmation {
     view: View,
     agreed: BTreeSet<u64>,
 }
 
-impl Confirmation {
+impl LeadershipConfirmation {
     /// Notes the answer to one of the questions.
-    pub fn note(&mut self, reply: &Reply) {
-        if reply.taken {
-            self.agreed.insert(reply.standing.member.disk);
+    pub fn record_reply(&mut self, reply: &Reply) {
+        if reply.accepted {
+            self.agreed.insert(reply.status.member.disk);
         }
     }
 
     /// A majority has said so.
-    pub fn holds(&self) -> bool {
+    pub fn has_majority(&self) -> bool {
         self.view.is_majority(&self.agreed)
     }
 
@@ -125,7 +127,7 @@
 
 impl Primary {
     /// The number of the last change that all backups have.
-    pub(super) fn committed(&self) -> u64 {
+    pub(super) fn committed_change_number(&self) -> u64 {
         let of = |disk: &u64| self.copied.get(disk).copied().unwrap_or(0);
         self.view.backups.iter().map(of).min().unwrap_or(0)
     }
--- a/crates/control/src/group/membership.rs
+++ b/crates/control/src/group/membership.rs
@@ -7,13 +7,13 @@
 
 /// What a machine that is about to stop has to do before it goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum LeaveStep {
     /// To ask this, and again until the answer is that it needn't wait.
-    Ask(Out),
+    Request(Outgoing),
     /// To wait: who could take its place isn't known yet.
     Wait,
     /// Nothing: the group doesn't rest on it.
-    Free,
+    Ready,
 }
 
 impl<S: Storage> Group<S> {
@@ -48,22 +48,22 @@
         let Role::Primary(primary) = &self.role else { return true };
         let view = &primary.view;
         let there = |(member, at): &(Member, Ms)| {
-            !view.decides(member.disk) && now < at + MEMBER_PATIENCE && !self.leaves(member.disk, now)
+            !view.has_vote(member.disk) && now < at + MEMBER_PATIENCE && !self.leaves(member.disk, now)
         };
         // Who is there to take its place isn't known to one that has only begun to lead.
         if now < primary.since + NEWCOMERS_HEARD {
             return true;
         }
         // One that is on its way out still decides, until the view that is without it stands alone.
-        let on_its_way = view.decides(disk) && !view.has(disk);
-        let replaced = on_its_way || (view.has(disk) && self.others.values().any(there));
+        let on_its_way = view.has_vote(disk) && !view.is_member(disk);
+        let replaced = on_its_way || (view.is_member(disk) && self.others.values().any(there));
         replaced || (view.holds_state(disk) && self.backups_to_be_had(primary, now))
     }
 
     /// Machines that are there and aren't members.
     pub(super) fn newcomers<'a>(&'a self, primary: &'a Primary, now: Ms) -> impl Iterator<Item = &'a Member> {
         let others = self.others.values().map(|(member, _)| member);
-        let there = others.filter(move |m| !primary.view.has(m.disk) && primary.is_fresh(m.disk, now));
+        let there = others.filter(move |m| !primary.view.is_member(m.disk) && primary.is_fresh(m.disk, now));
         there.filter(move |member| !self.leaves(member.disk, now))
     }
 
@@ -72,7 +72,7 @@
     pub(super) fn better_members(&self, now: Ms) -> Option<Vec<Member>> {
         let Role::Primary(primary) = &self.role else { return None };
         let members = &primary.view.members;
-        if !primary.view.previous.is_empty() && primary.view.previous != *members {
+        if !primary.view.previous_members.is_empty() && primary.view.previous_members != *members {
             return Some(members.clone());
         }
         let newcomer = self.newcomers(primary, now).next()?;
@@ -108,19 +108,19 @@
 
     /// What a machine that is about to stop has to do first: a primary asks its backup to take its place, another member
     /// asks the primary to do without it.
-    pub fn leave(&self) -> Leave {
+    pub fn next_leave_step(&self) -> LeaveStep {
         let me = self.settings.me.disk;
-        let Some(view) = self.view().filter(|view| view.decides(me) && view.members.len() > 1) else {
-            return Leave::Free;
+        let Some(view) = self.view().filter(|view| view.has_vote(me) && view.members.len() > 1) else {
+            return LeaveStep::Ready;
         };
         if let Role::Primary(primary) = &self.role {
-            let message = Message::Transfer(view.epoch);
+            let message = Message::TransferLeadership(view.epoch);
             let backup = primary.view.backups.iter().find_map(|disk| primary.ip_of(*disk));
-            return backup.map_or(Leave::Free, |to| Leave::Ask(Out { to, message }));
+            return backup.map_or(LeaveStep::Ready, |to| LeaveStep::Request(Outgoing { to, message }));
         }
         match self.primary.filter(|ip| *ip != self.settings.me.ip) {
-            Some(to) => Leave::Ask(Out { to, message: Message::Leave(me) }),
-            None => Leave::Wait,
+            Some(to) => LeaveStep::Request(Outgoing { to, message: Message::Leave(me) }),
+            None => LeaveStep::Wait,
         }
     }
 }
--- a/crates/control/src/group/mod.rs
+++ b/crates/control/src/group/mod.rs
@@ -18,9 +18,9 @@
 mod replication;
 mod spread;
 
-pub use self::lease::Confirmation;
+pub use self::lease::LeadershipConfirmation;
 use self::lease::Primary;
-pub use self::membership::Leave;
+pub use self::membership::LeaveStep;
 use crate::state::{Command, Rejected, State};
 use crate::view::{Member, View};
 use crate::Ms;
@@ -30,7 +30,7 @@
 use std::net::IpAddr;
 
 /// How often a primary tells that it is there.
-pub const PING_EVERY: Ms = 200;
+pub const HEARTBEAT_INTERVAL: Ms = 200;
 /// Without word from a primary for so long, a member looks for another.
 const PATIENCE: Ms = 700;
 /// The same after a start, when nobody was heard yet.
@@ -66,29 +66,29 @@
 
 /// What a machine of the group keeps on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Durable {
+pub struct DurableState {
     /// The identity of the disk.
     pub disk: u64,
     /// Nothing of a lower epoch is taken.
-    pub promised: u64,
-    pub accepted: Option<View>,
+    pub promised_epoch: u64,
+    pub accepted_view: Option<View>,
     pub state: State,
 }
 
 /// Keeps what must last; it is synced when `save` returns.
 pub trait Storage {
-    fn save(&mut self, durable: &Durable);
+    fn save(&mut self, durable: &DurableState);
 }
 
 impl Storage for Box<dyn Storage> {
-    fn save(&mut self, durable: &Durable) {
+    fn save(&mut self, durable: &DurableState) {
         self.as_mut().save(durable);
     }
 }
 
 /// What is known from the start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Settings {
+pub struct GroupSettings {
     pub me: Member,
     /// Machines that begin the system, by address.
     pub founders: Vec<IpAddr>,
@@ -108,11 +108,11 @@
     /// Keep this state, of this epoch.
     Replicate(u64, State),
     /// Accept this view.
-    Install(View),
+    InstallView(View),
     /// I am the primary of this view.
-    Ping(View),
+    Heartbeat(View),
     /// I am about to stop: take my place.
-    Transfer(u64),
+    TransferLeadership(u64),
     /// The member with this disk is about to stop, maybe for good: do without it. Taken as long as there is something
     /// to wait for before it goes.
     Leave(u64),
@@ -120,12 +120,12 @@
 
 /// How a machine stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Standing {
+pub struct MemberStatus {
     pub member: Member,
-    pub promised: u64,
-    pub accepted: Option<View>,
+    pub promised_epoch: u64,
+    pub accepted_view: Option<View>,
     /// Since it heard from a primary.
-    pub heard_ago: Ms,
+    pub heartbeat_age: Ms,
     /// It takes part in founding the system.
     pub founder: bool,
 }
@@ -133,13 +133,13 @@
 /// The answer to each message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Reply {
-    pub taken: bool,
-    pub standing: Standing,
+    pub accepted: bool,
+    pub status: MemberStatus,
 }
 
-/// A message that is to be sent; its answer goes to [`Group::reply`].
+/// A message that is to be sent; its answer goes to [`Group::handle_reply`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Out {
+pub struct Outgoing {
     pub to: IpAddr,
     pub message: Message,
 }
@@ -147,19 +147,19 @@
 /// What a machine is at, for logs and status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    Follows,
-    LooksForPrimary,
-    AsksForEpoch(u64),
-    CopiesState(u64),
-    InstallsView(u64),
-    Leads(u64),
+    Follower,
+    Probing,
+    Preparing(u64),
+    CopyingState(u64),
+    InstallingView(u64),
+    Primary(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
     Follower,
-    Probing { since: Ms, standings: BTreeMap<u64, Standing> },
-    Preparing { since: Ms, epoch: u64, promises: BTreeMap<u64, Standing>, plan: Option<Vec<Member>> },
+    Probing { since: Ms, statuses: BTreeMap<u64, MemberStatus> },
+    Preparing { since: Ms, epoch: u64, promises: BTreeMap<u64, MemberStatus>, plan: Option<Vec<Member>> },
     Copying { since: Ms, view: View, from: Option<View>, copied: BTreeSet<u64> },
     Installing { since: Ms, view: View, from: Option<View>, accepted: BTreeSet<u64> },
     Primary(Primary),
@@ -167,17 +167,17 @@
 
 /// A change that was asked for here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Change {
+pub struct ChangeId {
     number: u64,
     /// Which state it was made on.
-    line: u64,
+    state_generation: u64,
 }
 
 /// One machine's part in the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Group<S> {
-    settings: Settings,
-    durable: Durable,
+    settings: GroupSettings,
+    durable: DurableState,
     storage: S,
     role: Role,
     heard: Ms,
@@ -187,7 +187,7 @@
     heard_primary: Option<Ms>,
     started: Ms,
     /// Rises when the state here is replaced by another primary's.
-    line: u64,
+    state_generation: u64,
     primary: Option<IpAddr>,
     /// Machines that serve control but aren't members, and when they were heard.
     others: BTreeMap<u64, (Member, Ms)>,
@@ -198,7 +198,7 @@
 }
 
 impl<S: Storage> Group<S> {
-    pub fn new(settings: Settings, durable: Durable, storage: S, now: Ms) -> Group<S> {
+    pub fn new(settings: GroupSettings, durable: DurableState, storage: S, now: Ms) -> Group<S> {
         let (role, others, leaving) = (Role::Follower, BTreeMap::new(), BTreeMap::new());
         Group {
             settings,
@@ -209,7 +209,7 @@
             leave_until: 0,
             heard_primary: None,
             started: now,
-            line: 0,
+            state_generation: 0,
             primary: None,
             others,
             leaving,
@@ -218,7 +218,7 @@
     }
 
     /// What is on this machine's disk.
-    pub fn durable(&self) -> &Durable {
+    pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
@@ -230,38 +230,38 @@
     /// What this machine is at.
     pub fn stage(&self) -> Stage {
         match &self.role {
-            Role::Follower => Stage::Follows,
-            Role::Probing { .. } => Stage::LooksForPrimary,
-            Role::Preparing { epoch, .. } => Stage::AsksForEpoch(*epoch),
-            Role::Copying { view, .. } => Stage::CopiesState(view.epoch),
-            Role::Installing { view, .. } => Stage::InstallsView(view.epoch),
-            Role::Primary(primary) => Stage::Leads(primary.view.epoch),
+            Role::Follower => Stage::Follower,
+            Role::Probing { .. } => Stage::Probing,
+            Role::Preparing { epoch, .. } => Stage::Preparing(*epoch),
+            Role::Copying { view, .. } => Stage::CopyingState(view.epoch),
+            Role::Installing { view, .. } => Stage::InstallingView(view.epoch),
+            Role::Primary(primary) => Stage::Primary(primary.view.epoch),
         }
     }
 
     /// The number of the last change that is on the primary's and all backups' disks.
-    pub fn committed(&self) -> u64 {
+    pub fn committed_change_number(&self) -> u64 {
         match &self.role {
-            Role::Primary(primary) => primary.committed(),
+            Role::Primary(primary) => primary.committed_change_number(),
             _ => 0,
         }
     }
 
     /// The last change that this machine has, on one disk at least.
-    pub fn last(&self) -> u64 {
-        self.durable.state.at.number
+    pub fn last_change_number(&self) -> u64 {
+        self.durable.state.position.number
     }
 
     /// The view that counts here.
     pub fn view(&self) -> Option<&View> {
-        self.durable.accepted.as_ref()
+        self.durable.accepted_view.as_ref()
     }
 
     /// The addresses of all that decide, of machines that may join, and of the founders.
     pub fn addresses(&self) -> Vec<IpAddr> {
         let deciding =
-            |view: &View| view.members.iter().chain(&view.previous).map(|m| m.ip).collect::<Vec<_>>();
-        let members = self.durable.accepted.iter().chain(&self.told).flat_map(deciding);
+            |view: &View| view.members.iter().chain(&view.previous_members).map(|m| m.ip).collect::<Vec<_>>();
+        let members = self.durable.accepted_view.iter().chain(&self.told).flat_map(deciding);
         let others = self.others.values().map(|(member, _)| member.ip);
         let all = members.chain(others).chain(self.settings.founders.iter().copied());
         all.collect::<BTreeSet<_>>().into_iter().collect()
@@ -271,13 +271,13 @@
         self.addresses().into_iter().filter(|ip| *ip != self.settings.me.ip).collect()
     }
 
-    fn standing(&self, now: Ms) -> Standing {
+    fn status(&self, now: Ms) -> MemberStatus {
         let leads = self.leads(now).is_some();
-        Standing {
+        MemberStatus {
             member: self.settings.me.clone(),
-            promised: self.durable.promised,
-            accepted: self.durable.accepted.clone(),
-            heard_ago: if leads {
+            promised_epoch: self.durable.promised_epoch,
+            accepted_view: self.durable.accepted_view.clone(),
+            heartbeat_age: if leads {
                 0
             } else {
                 self.heard_primary.map_or(Ms::MAX, |at| now.saturating_sub(at))
@@ -291,24 +291,24 @@
     }
 
     /// Answers another machine.
-    pub fn handle(&mut self, from: IpAddr, message: Message, now: Ms) -> (Reply, Vec<Out>) {
+    pub fn handle(&mut self, from: IpAddr, message: Message, now: Ms) -> (Reply, Vec<Outgoing>) {
         let mut out = Vec::new();
-        let taken = match message {
+        let accepted = match message {
             // It was meant for a member that had this address before.
             _ if from == self.settings.me.ip => false,
             Message::Probe(member) => {
                 self.note_other(&member, now);
                 true
             }
-            Message::Prepare(epoch) if epoch > self.durable.promised => {
+            Message::Prepare(epoch) if epoch > self.durable.promised_epoch => {
                 self.leave_until = now + LEAVE;
                 self.promise(epoch)
             }
             Message::Prepare(_) => false,
             Message::Replicate(epoch, state) => self.heed(epoch) && self.keep(state, now),
-            Message::Install(view) => self.heed(view.epoch) && self.accept(view),
-            Message::Ping(view) => self.pinged(from, view, now),
-            Message::Transfer(epoch) => {
+            Message::InstallView(view) => self.heed(view.epoch) && self.accept(view),
+            Message::Heartbeat(view) => self.pinged(from, view, now),
+            Message::TransferLeadership(epoch) => {
                 let me = self.settings.me.disk;
                 let mine = self.view().is_some_and(|v| v.epoch == epoch && v.backups.contains(&me));
                 if mine && matches!(self.role, Role::Follower) {
@@ -318,15 +318,15 @@
             }
             Message::Leave(disk) => self.member_leaves(disk, now),
         };
-        (Reply { taken, standing: self.standing(now) }, out)
+        (Reply { accepted, status: self.status(now) }, out)
     }
 
     fn is_member(&self, disk: u64) -> bool {
-        self.view().is_some_and(|view| view.has(disk))
+        self.view().is_some_and(|view| view.is_member(disk))
     }
 
     fn promise(&mut self, epoch: u64) -> bool {
-        self.durable.promised = epoch;
+        self.durable.promised_epoch = epoch;
         self.save();
         self.role = Role::Follower;
         true
@@ -334,10 +334,10 @@
 
     /// Whether a message of an epoch counts; what this machine does in a lower one ends.
     fn heed(&mut self, epoch: u64) -> bool {
-        if epoch < self.durable.promised {
+        if epoch < self.durable.promised_epoch {
             return false;
         }
-        if epoch > self.durable.promised {
+        if epoch > self.durable.promised_epoch {
             self.promise(epoch);
         }
         true
@@ -349,8 +349,8 @@
     }
 
     fn accept(&mut self, view: View) -> bool {
-        if self.durable.accepted.as_ref() != Some(&view) {
-            self.durable.accepted = Some(view);
+        if self.durable.accepted_view.as_ref() != Some(&view) {
+            self.durable.accepted_view = Some(view);
             self.save();
         }
         true
@@ -369,7 +369,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Ms) -> Vec<Out> {
+    pub fn tick(&mut self, now: Ms) -> Vec<Outgoing> {
         match &self.role {
             Role::Follower => self.follow(now),
             Role::Probing { since, .. } if now >= since + PROBE => self.judge_probe(now, true),
@@ -385,27 +385,27 @@
     }
 
     /// Takes the answer to a message that was sent at a time. What it proves held at that time, not when it is read.
-    pub fn reply(&mut self, message: &Message, sent: Ms, reply: Reply, now: Ms) -> Vec<Out> {
-        let standing = reply.standing;
-        let disk = standing.member.disk;
-        self.note_other(&standing.member, now);
-        if let Some(view) = &standing.accepted {
+    pub fn handle_reply(&mut self, message: &Message, sent: Ms, reply: Reply, now: Ms) -> Vec<Outgoing> {
+        let status = reply.status;
+        let disk = status.member.disk;
+        self.note_other(&status.member, now);
+        if let Some(view) = &status.accepted_view {
             self.note_view(view);
         }
         match (&mut self.role, message) {
-            (Role::Probing { standings, .. }, Message::Probe(_)) => {
-                standings.insert(disk, standing);
+            (Role::Probing { statuses, .. }, Message::Probe(_)) => {
+                statuses.insert(disk, status);
                 self.judge_probe(now, false)
             }
             (Role::Preparing { epoch, promises, .. }, Message::Prepare(of)) if epoch == of => {
-                if !reply.taken {
+                if !reply.accepted {
                     return self.rest(now);
                 }
-                promises.insert(disk, standing);
+                promises.insert(disk, status);
                 self.judge_promises(now)
             }
             (Role::Copying { view, copied, .. }, Message::Replicate(of, _)) if view.epoch == *of => {
-                if !reply.taken {
+                if !reply.accepted {
                     return self.rest(now);
                 }
                 copied.insert(disk);
@@ -414,24 +414,24 @@
                     false => Vec::new(),
                 }
             }
-            (Role::Installing { view, accepted, .. }, Message::Install(of)) if view == of => {
-                if !reply.taken {
+            (Role::Installing { view, accepted, .. }, Message::InstallView(of)) if view == of => {
+                if !reply.accepted {
                     return self.rest(now);
                 }
                 accepted.insert(disk);
                 self.judge_installed(now)
             }
             (Role::Primary(primary), message) => {
-                if standing.promised > primary.view.epoch {
+                if status.promised_epoch > primary.view.epoch {
                     self.role = Role::Follower;
                     self.heard = now;
                     return Vec::new();
                 }
                 primary.note_answer(disk, sent);
                 if let Message::Replicate(epoch, state) = message {
-                    if reply.taken && *epoch == primary.view.epoch {
+                    if reply.accepted && *epoch == primary.view.epoch {
                         let copied = primary.copied.entry(disk).or_default();
-                        *copied = (*copied).max(state.at.number);
+                        *copied = (*copied).max(state.position.number);
                     }
                 }
                 Vec::new()
--- a/crates/control/src/group/spread.rs
+++ b/crates/control/src/group/spread.rs
@@ -17,7 +17,7 @@
     /// The newcomer that should be a member first, where it matters where members stand.
     pub(super) fn newcomer_by_spread<'a>(&'a self, primary: &'a Primary, now: Ms) -> Option<&'a Member> {
         let wanted = self.members_by_spread(primary, now)?;
-        wanted.into_iter().find(|member| !primary.view.has(member.disk))
+        wanted.into_iter().find(|member| !primary.view.is_member(member.disk))
     }
 
     /// A newcomer, and the place of the member in whose stead a majority outlasts more with it.
@@ -36,7 +36,7 @@
             return None;
         }
         let is_wanted = |disk: u64| wanted.iter().any(|member| member.disk == disk);
-        let newcomer = wanted.iter().find(|member| !primary.view.has(member.disk))?;
+        let newcomer = wanted.iter().find(|member| !primary.view.is_member(member.disk))?;
         let place = members.iter().position(|member| !is_wanted(member.disk))?;
         Some((place, newcomer))
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -16,7 +16,10 @@
 pub mod stores;
 pub mod view;
 
-pub use group::{Change, Confirmation, Durable, Group, Leave, Message, Out, Reply, Settings, Stage, Storage};
+pub use group::{
+    ChangeId, DurableState, Group, GroupSettings, LeadershipConfirmation, LeaveStep, Message, Outgoing,
+    Reply, Stage, Storage,
+};
 pub use state::{Command, Event, Position, Rejected, State};
 pub use stores::{Store, StoreView, PARTITIONS};
 pub use view::{Member, View};
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -6,11 +6,11 @@
 use std::fmt;
 
 /// How many taken configurations are remembered, so that their repeats are answered as they were.
-pub const REMEMBERED: usize = 4_096;
+pub const REMEMBERED_CONFIGURATIONS: usize = 4_096;
 
 /// A configuration that was taken.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Taken {
+pub struct AppliedConfiguration {
     pub version: u64,
     /// The version that it was built on.
     pub base: u64,
@@ -33,11 +33,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct State {
     /// The position of the last change.
-    pub at: Position,
+    pub position: Position,
     pub version: u64,
     /// The configuration in force, as it was sent.
     pub body: Vec<u8>,
-    pub taken: Vec<Taken>,
+    pub applied: Vec<AppliedConfiguration>,
     pub stores: StoreView,
 }
 
@@ -49,9 +49,9 @@
     /// Stores with these disks are there, and say this of themselves.
     StoresSeen(Vec<Store>),
     /// A store's disk is lost; its heir is to be none of those that are silent, if another one is there.
-    StoreLost { disk: u64, silent: BTreeSet<u64> },
+    StoreLost { disk: u64, unreachable: BTreeSet<u64> },
     /// The first stores are known: share out the partitions.
-    ShareOut,
+    AssignPartitions,
     /// Empty the store of this name; as many others have to stay, and in as many places, as may be lost and one more.
     Retire { name: String, tolerance: Tolerance },
     /// All that a retiring store had is elsewhere.
@@ -63,10 +63,10 @@
 /// What changes the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Event {
-    Configured { taken: Taken, body: Vec<u8> },
-    StorePut(Store),
-    StoreLost { disk: u64, heir: Option<u64> },
-    SharedOut,
+    Configured { applied: AppliedConfiguration, body: Vec<u8> },
+    StoreUpserted(Store),
+    StoreLost { disk: u64, successor: Option<u64> },
+    PartitionsAssigned,
     Retiring(u64),
     Retired(u64),
     Emptied(u64),
@@ -80,7 +80,7 @@
     /// Another version is in force.
     Stale { current: u64 },
     /// It is built on a version so old that it isn't remembered whether it was taken.
-    Forgotten { base: u64 },
+    BaseTooOld { base: u64 },
     /// No store has this name.
     UnknownStore,
     /// Too few stores would stay.
@@ -94,7 +94,7 @@
             Rejected::Stale { current } => {
                 write!(f, "version {current} is in force; read it, and build the change on it")
             }
-            Rejected::Forgotten { base } => {
+            Rejected::BaseTooOld { base } => {
                 write!(f, "it is not known any more what was built on version {base}; read the configuration")
             }
             Rejected::UnknownStore => f.write_str("no store has this name; see the status for their names"),
@@ -113,22 +113,22 @@
         match command {
             Command::Configure { base, body } => self.configure(*base, body),
             Command::StoresSeen(stores) => Ok(self.stores_seen(stores)),
-            Command::StoreLost { disk, silent } => match self.stores.get(*disk) {
-                Some(store) if !store.gone => {
-                    let heir = self.stores.heir_for(*disk, silent);
-                    Ok(vec![Event::StoreLost { disk: *disk, heir }])
+            Command::StoreLost { disk, unreachable } => match self.stores.get(*disk) {
+                Some(store) if !store.declared_lost => {
+                    let successor = self.stores.choose_successor(*disk, unreachable);
+                    Ok(vec![Event::StoreLost { disk: *disk, successor }])
                 }
                 _ => Ok(Vec::new()),
             },
-            Command::ShareOut if self.stores.owners.is_empty() => Ok(vec![Event::SharedOut]),
-            Command::ShareOut => Ok(Vec::new()),
+            Command::AssignPartitions if self.stores.owners.is_empty() => Ok(vec![Event::PartitionsAssigned]),
+            Command::AssignPartitions => Ok(Vec::new()),
             Command::Retire { name, tolerance } => self.retire(name, *tolerance),
             Command::Retired(disk) => match self.stores.get(*disk) {
                 Some(store) if store.retiring && !store.emptied => Ok(vec![Event::Retired(*disk)]),
                 _ => Ok(Vec::new()),
             },
             Command::Emptied(disk) => match self.stores.get(*disk) {
-                Some(store) if store.gone && !store.emptied => Ok(vec![Event::Emptied(*disk)]),
+                Some(store) if store.declared_lost && !store.emptied => Ok(vec![Event::Emptied(*disk)]),
                 _ => Ok(Vec::new()),
             },
         }
@@ -136,7 +136,7 @@
 
     fn retire(&self, name: &str, tolerance: Tolerance) -> Result<Vec<Event>, Rejected> {
         let Some(store) = self.stores.active().find(|store| store.name == name) else {
-            return match self.stores.retired(name) {
+            return match self.stores.last_retiring_named(name) {
                 Some(_) => Ok(Vec::new()),
                 None => Err(Rejected::UnknownStore),
             };
@@ -144,10 +144,10 @@
         if store.retiring {
             return Ok(Vec::new());
         }
-        let staying = self.stores.staying();
-        let locations: Vec<&Location> = staying.clone().map(|staying| &staying.location).collect();
+        let remaining = self.stores.remaining();
+        let locations: Vec<&Location> = remaining.clone().map(|remaining| &remaining.location).collect();
         let others: Vec<&Location> =
-            staying.filter(|other| other.disk != store.disk).map(|other| &other.location).collect();
+            remaining.filter(|other| other.disk != store.disk).map(|other| &other.location).collect();
         // Where the stores don't bear all of the tolerance, they bear no less of it without this one.
         let spread = tolerance.missing_spread(&others) <= tolerance.missing_spread(&locations);
         match others.len() > tolerance.copies() && (spread || !tolerance.needs_spread()) {
@@ -158,12 +158,14 @@
 
     fn configure(&self, base: u64, body: &[u8]) -> Result<Vec<Event>, Rejected> {
         let digest = xxhash_rust::xxh3::xxh3_128(body);
-        if self.taken.iter().any(|taken| taken.base == base && taken.digest == digest) {
+        if self.applied.iter().any(|applied| applied.base == base && applied.digest == digest) {
             return Ok(Vec::new());
         }
         let configuration = Configuration::parse(body).map_err(Rejected::Invalid)?;
-        if self.taken.len() >= REMEMBERED && self.taken.first().is_some_and(|oldest| base < oldest.base) {
-            return Err(Rejected::Forgotten { base });
+        if self.applied.len() >= REMEMBERED_CONFIGURATIONS
+            && self.applied.first().is_some_and(|oldest| base < oldest.base)
+        {
+            return Err(Rejected::BaseTooOld { base });
         }
         if base != self.version {
             return Err(Rejected::Stale { current: self.version });
@@ -173,8 +175,8 @@
             faults.add("Version", format!("is not above {}; choose a higher one", self.version));
             return Err(Rejected::Invalid(faults));
         }
-        let taken = Taken { version: configuration.version, base, digest };
-        Ok(vec![Event::Configured { taken, body: body.to_vec() }])
+        let applied = AppliedConfiguration { version: configuration.version, base, digest };
+        Ok(vec![Event::Configured { applied, body: body.to_vec() }])
     }
 
     /// Each store is looked at by the view with those before it.
@@ -183,7 +185,7 @@
         let mut all = Vec::new();
         for store in stores {
             let events = after.store_seen(store);
-            events.iter().for_each(|event| after.fold(event));
+            events.iter().for_each(|event| after.apply(event));
             all.extend(events);
         }
         all
@@ -191,40 +193,40 @@
 
     fn store_seen(&self, store: &Store) -> Vec<Event> {
         match self.stores.get(store.disk) {
-            Some(known) if known.gone || known.says_the_same(store) => Vec::new(),
-            Some(_) => vec![Event::StorePut(store.clone())],
+            Some(known) if known.declared_lost || known.has_same_details(store) => Vec::new(),
+            Some(_) => vec![Event::StoreUpserted(store.clone())],
             None => {
                 // Another disk at the same machine: the one before is lost.
                 let before = self.stores.active().find(|s| s.name == store.name || s.ip == store.ip);
                 let lost = before.map(|before| self.replaced_by(before.disk, store));
-                [Event::StorePut(store.clone())].into_iter().chain(lost).collect()
+                [Event::StoreUpserted(store.clone())].into_iter().chain(lost).collect()
             }
         }
     }
 
     /// A store's disk is lost, as another one at its machine shows, which is known from then on.
-    fn replaced_by(&self, disk: u64, successor: &Store) -> Event {
+    fn replaced_by(&self, disk: u64, replacement: &Store) -> Event {
         let mut stores = self.stores.clone();
-        stores.put(successor.clone());
-        Event::StoreLost { disk, heir: stores.heir_for(disk, &BTreeSet::new()) }
+        stores.upsert(replacement.clone());
+        Event::StoreLost { disk, successor: stores.choose_successor(disk, &BTreeSet::new()) }
     }
 
     /// Carries out an event.
-    pub fn fold(&mut self, event: &Event) {
+    pub fn apply(&mut self, event: &Event) {
         match event {
-            Event::Configured { taken, body } => {
-                self.version = taken.version;
+            Event::Configured { applied, body } => {
+                self.version = applied.version;
                 self.body = body.clone();
-                self.taken.push(taken.clone());
-                let surplus = self.taken.len().saturating_sub(REMEMBERED);
-                self.taken.drain(..surplus);
+                self.applied.push(applied.clone());
+                let surplus = self.applied.len().saturating_sub(REMEMBERED_CONFIGURATIONS);
+                self.applied.drain(..surplus);
             }
-            Event::StorePut(store) => self.stores.put(store.clone()),
-            Event::StoreLost { disk, heir } => self.stores.lose(*disk, *heir),
-            Event::SharedOut => self.stores.share_out(),
+            Event::StoreUpserted(store) => self.stores.upsert(store.clone()),
+            Event::StoreLost { disk, successor } => self.stores.declare_lost(*disk, *successor),
+            Event::PartitionsAssigned => self.stores.assign_partitions(),
             Event::Retiring(disk) => self.stores.retire(*disk, false),
             Event::Retired(disk) => self.stores.retire(*disk, true),
-            Event::Emptied(disk) => self.stores.empty(*disk),
+            Event::Emptied(disk) => self.stores.mark_emptied(*disk),
         }
     }
 }
--- a/crates/control/src/stores.rs
+++ b/crates/control/src/stores.rs
@@ -16,9 +16,9 @@
     pub ip: IpAddr,
     pub location: Location,
     /// Its disk is lost: nothing that it held is there, and nothing is taken from it.
-    pub gone: bool,
+    pub declared_lost: bool,
     /// Who takes over what a lost store owned.
-    pub heir: Option<u64>,
+    pub successor: Option<u64>,
     /// It said that it stops as planned, and hasn't been heard as running since: others keep what it kept.
     pub leaving: bool,
     /// It is to be emptied and taken away.
@@ -40,11 +40,21 @@
 impl Store {
     /// A store that nothing is known of but what it says of itself.
     pub fn new(disk: u64, name: String, ip: IpAddr, location: Location, leaving: bool) -> Store {
-        Store { disk, name, ip, location, gone: false, heir: None, leaving, retiring: false, emptied: false }
+        Store {
+            disk,
+            name,
+            ip,
+            location,
+            declared_lost: false,
+            successor: None,
+            leaving,
+            retiring: false,
+            emptied: false,
+        }
     }
 
     /// Whether another store that is there says the same of itself.
-    pub fn says_the_same(&self, other: &Store) -> bool {
+    pub fn has_same_details(&self, other: &Store) -> bool {
         let same_machine = self.name == other.name && self.ip == other.ip && self.location == other.location;
         self.disk == other.disk && same_machine && self.leaving == other.leaving
     }
@@ -58,16 +68,16 @@
 
     /// Stores whose disks are not lost.
     pub fn active(&self) -> impl Iterator<Item = &Store> + Clone {
-        self.stores.iter().filter(|store| !store.gone)
+        self.stores.iter().filter(|store| !store.declared_lost)
     }
 
     /// Stores that are there to stay.
-    pub fn staying(&self) -> impl Iterator<Item = &Store> + Clone {
+    pub fn remaining(&self) -> impl Iterator<Item = &Store> + Clone {
         self.active().filter(|store| !store.retiring)
     }
 
     /// The store of this name that was asked to retire last.
-    pub fn retired(&self, name: &str) -> Option<&Store> {
+    pub fn last_retiring_named(&self, name: &str) -> Option<&Store> {
         self.stores.iter().rev().find(|store| store.retiring && store.name == name)
     }
 
@@ -78,25 +88,28 @@
     }
 
     /// Who has what a lost store owned now: the last of the line of heirs.
-    pub fn final_heir(&self, disk: u64) -> Option<u64> {
+    pub fn final_successor(&self, disk: u64) -> Option<u64> {
         let mut store = self.get(disk)?;
         for _ in 0..self.stores.len() {
-            match store.heir.and_then(|heir| self.get(heir)) {
-                Some(heir) if store.gone => store = heir,
+            match store.successor.and_then(|successor| self.get(successor)) {
+                Some(successor) if store.declared_lost => store = successor,
                 _ => break,
             }
         }
-        (!store.gone).then_some(store.disk)
+        (!store.declared_lost).then_some(store.disk)
     }
 
     /// Lost stores whose messages a store has to take over.
-    pub fn inherited_by(&self, disk: u64) -> Vec<u64> {
-        let gone = self.stores.iter().filter(|store| store.gone);
-        gone.filter(|store| self.final_heir(store.disk) == Some(disk)).map(|store| store.disk).collect()
+    pub fn lost_stores_taken_over_by(&self, disk: u64) -> Vec<u64> {
+        let declared_lost = self.stores.iter().filter(|store| store.declared_lost);
+        declared_lost
+            .filter(|store| self.final_successor(store.disk) == Some(disk))
+            .map(|store| store.disk)
+            .collect()
     }
 
     /// Adds a store, or notes what it says of itself now.
-    pub fn put(&mut self, store: Store) {
+    pub fn upsert(&mut self, store: Store) {
         match self.stores.iter_mut().find(|known| known.disk == store.disk) {
             Some(known) => {
                 (known.name, known.ip, known.location) = (store.name, store.ip, store.location);
@@ -108,7 +121,7 @@
     }
 
     /// Shares out the partitions among the active stores, once.
-    pub fn share_out(&mut self) {
+    pub fn assign_partitions(&mut self) {
         let mut disks: Vec<u64> = self.active().map(|store| store.disk).collect();
         disks.sort_unstable();
         if self.owners.is_empty() && !disks.is_empty() {
@@ -118,13 +131,13 @@
     }
 
     /// A store's disk is lost: an heir takes over its partitions and its messages.
-    pub fn lose(&mut self, disk: u64, heir: Option<u64>) {
+    pub fn declare_lost(&mut self, disk: u64, successor: Option<u64>) {
         if let Some(store) = self.stores.iter_mut().find(|store| store.disk == disk) {
-            store.gone = true;
-            store.heir = heir;
+            store.declared_lost = true;
+            store.successor = successor;
         }
-        if let Some(heir) = heir {
-            self.owners.iter_mut().filter(|owner| **owner == disk).for_each(|owner| *owner = heir);
+        if let Some(successor) = successor {
+            self.owners.iter_mut().filter(|owner| **owner == disk).for_each(|owner| *owner = successor);
         }
         self.epoch += 1;
     }
@@ -138,7 +151,7 @@
     }
 
     /// All that a lost store had is elsewhere.
-    pub fn empty(&mut self, disk: u64) {
+    pub fn mark_emptied(&mut self, disk: u64) {
         if let Some(store) = self.stores.iter_mut().find(|store| store.disk == disk) {
             store.emptied = true;
             self.epoch += 1;
@@ -147,13 +160,13 @@
 
     /// The store that should take over from one, if its disk is lost: one that isn't silent or about to stop, if there is
     /// one, and of these the one that owns least; then one of the same name, then the nearest.
-    pub fn heir_for(&self, disk: u64, silent: &BTreeSet<u64>) -> Option<u64> {
+    pub fn choose_successor(&self, disk: u64, unreachable: &BTreeSet<u64>) -> Option<u64> {
         let lost = self.get(disk)?;
         let owned = |store: &Store| self.owners.iter().filter(|owner| **owner == store.disk).count();
-        let others = self.staying().filter(|store| store.disk != disk);
+        let others = self.remaining().filter(|store| store.disk != disk);
         let order = |s: &&Store| {
             let distance = s.location.distance(&lost.location);
-            (s.leaving || silent.contains(&s.disk), owned(s), s.name != lost.name, distance, s.disk)
+            (s.leaving || unreachable.contains(&s.disk), owned(s), s.name != lost.name, distance, s.disk)
         };
         others.min_by_key(order).map(|store| store.disk)
     }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -22,7 +22,7 @@
     pub backups: Vec<u64>,
     pub members: Vec<Member>,
     /// The members of the view before, as long as this one has other members: both majorities decide.
-    pub previous: Vec<Member>,
+    pub previous_members: Vec<Member>,
 }
 
 impl View {
@@ -32,19 +32,19 @@
     }
 
     /// Whether a disk may vote.
-    pub fn has(&self, disk: u64) -> bool {
+    pub fn is_member(&self, disk: u64) -> bool {
         self.members.iter().any(|member| member.disk == disk)
     }
 
     /// Whether a disk has a vote on the next view: as a member, or as one of the members before these.
-    pub fn decides(&self, disk: u64) -> bool {
-        self.has(disk) || self.previous.iter().any(|member| member.disk == disk)
+    pub fn has_vote(&self, disk: u64) -> bool {
+        self.is_member(disk) || self.previous_members.iter().any(|member| member.disk == disk)
     }
 
     /// Whether these disks decide: a majority of the members, and of the members before these.
     pub fn is_majority<'a>(&self, disks: impl IntoIterator<Item = &'a u64>) -> bool {
         let disks: Vec<u64> = disks.into_iter().copied().collect();
-        is_majority(&self.members, &disks) && is_majority(&self.previous, &disks)
+        is_majority(&self.members, &disks) && is_majority(&self.previous_members, &disks)
     }
 }
 
--- a/crates/control/tests/configurations.rs
+++ b/crates/control/tests/configurations.rs
@@ -10,7 +10,7 @@
     let mut state = State::default();
     let valid = body(3, r#"[{"Name": "a", "ApiKeys": ["k"]}]"#);
     for event in state.decide(&Command::Configure { base: 0, body: valid }).unwrap() {
-        state.fold(&event);
+        state.apply(&event);
     }
     state
 }
--- a/crates/control/tests/exhaustive.rs
+++ b/crates/control/tests/exhaustive.rs
@@ -1,7 +1,9 @@
 //! The control group, every interleaving within bounds: three members and the program's own steps. Messages that were
 //! sent arrive in any order, now, later or never; time passes in steps that let a lease end and an election begin; one
 //! machine is restarted or loses its disk; two operators send an order each, on one version.
-use control::{Change, Command, Durable, Group, Member, Message, Ms, Out, Reply, Settings, Storage};
+use control::{
+    ChangeId, Command, DurableState, Group, GroupSettings, Member, Message, Ms, Outgoing, Reply, Storage,
+};
 use rstest::rstest;
 use settings::{Location, Tolerance};
 use stateright::{Checker, Model, Property};
@@ -16,7 +18,7 @@
 struct Memory;
 
 impl Storage for Memory {
-    fn save(&mut self, _: &Durable) {}
+    fn save(&mut self, _: &DurableState) {}
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -56,7 +58,7 @@
     left: Bounds,
     next_disk: u64,
     /// Orders that a machine is at.
-    waiting: Vec<(usize, Change, u64)>,
+    waiting: Vec<(usize, ChangeId, u64)>,
     /// Versions that were confirmed, all built on version 0.
     confirmed: BTreeSet<u64>,
     /// Who led each epoch.
@@ -77,16 +79,21 @@
     IpAddr::V4(Ipv4Addr::new(10, 0, 0, i as u8 + 1))
 }
 
-fn machine(i: usize, durable: Durable, founder: bool, now: Ms) -> Group<Memory> {
+fn machine(i: usize, durable: DurableState, founder: bool, now: Ms) -> Group<Memory> {
     let me = Member { disk: durable.disk, name: format!("m{i}"), ip: ip(i), location: Location::default() };
     let founders = (0..MACHINES).map(ip).collect();
-    Group::new(Settings { me, founders, founder, tolerance: Tolerance::of_machines(1) }, durable, Memory, now)
+    Group::new(
+        GroupSettings { me, founders, founder, tolerance: Tolerance::of_machines(1) },
+        durable,
+        Memory,
+        now,
+    )
 }
 
 impl World {
     /// A group that leads, with nothing on its way.
     fn founded(left: Bounds) -> World {
-        let fresh = |i: usize| Durable { disk: i as u64 + 1, ..Durable::default() };
+        let fresh = |i: usize| DurableState { disk: i as u64 + 1, ..DurableState::default() };
         let machines = (0..MACHINES).map(|i| machine(i, fresh(i), true, 1)).collect();
         let mut world = World {
             machines,
@@ -113,8 +120,8 @@
         (0..MACHINES).find(|i| self.machines[*i].leads(self.now).is_some())
     }
 
-    fn send(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, message } in out {
+    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
+        for Outgoing { to, message } in out {
             let Some(to) = (0..MACHINES).find(|i| ip(*i) == to) else { continue };
             let packet = Packet::Asks { sent: self.now, from, to, message };
             self.net.insert(packet.key(), packet);
@@ -131,7 +138,7 @@
                 self.net.insert(answer.key(), answer);
             }
             Packet::Answers { sent, to, message, reply } => {
-                let out = self.machines[to].reply(&message, sent, *reply, now);
+                let out = self.machines[to].handle_reply(&message, sent, *reply, now);
                 self.send(to, out);
             }
         }
@@ -147,14 +154,14 @@
         self.look();
     }
 
-    fn restart(&mut self, i: usize, durable: Durable) {
+    fn restart(&mut self, i: usize, durable: DurableState) {
         self.machines[i] = machine(i, durable, false, self.now);
         self.waiting.retain(|(at, _, _)| *at != i);
     }
 
     fn order(&mut self, i: usize, version: u64) {
         let body = format!(r#"{{"Version":{version},"Routes":[],"Backends":[]}}"#).into_bytes();
-        let proposed = self.machines[i].propose_when_settled(&Command::Configure { base: 0, body }, self.now);
+        let proposed = self.machines[i].try_propose(&Command::Configure { base: 0, body }, self.now);
         if let Some(Ok((change, out))) = proposed {
             self.send(i, out);
             self.waiting.push((i, change, version));
@@ -172,7 +179,7 @@
             }
         }
         for (i, change, version) in self.waiting.clone() {
-            if self.machines[i].has_committed(change, self.now) == Some(true) {
+            if self.machines[i].is_committed(change, self.now) == Some(true) {
                 self.confirmed.insert(version);
             }
         }
@@ -182,7 +189,7 @@
         let newest = |i: &usize| self.machines[*i].view().map(|view| view.epoch);
         let leads = |i: &usize| self.machines[*i].leads(self.now).is_some();
         if let Some(i) = (0..MACHINES).filter(leads).max_by_key(newest) {
-            let taken = &self.machines[i].durable().state.taken;
+            let taken = &self.machines[i].durable().state.applied;
             let lost = |version: &u64| !taken.iter().any(|taken| taken.version == *version);
             // An earlier primary may lead by its lease still; it confirms nothing any more.
             let latest = self.leaders.keys().max() == self.machines[i].view().map(|view| view.epoch).as_ref();
@@ -241,7 +248,7 @@
                 world.left.wipes -= 1;
                 let disk = world.next_disk;
                 world.next_disk += 1;
-                world.restart(i, Durable { disk, ..Durable::default() });
+                world.restart(i, DurableState { disk, ..DurableState::default() });
             }
             Action::Order(i) => {
                 world.left.orders -= 1;
--- a/crates/control/tests/network/mod.rs
+++ b/crates/control/tests/network/mod.rs
@@ -5,7 +5,7 @@
 mod operators;
 mod troubles;
 
-use control::{Command, Durable, Group, Leave, Member, Message, Ms, Out, Reply, Settings};
+use control::{Command, DurableState, Group, GroupSettings, LeaveStep, Member, Message, Ms, Outgoing, Reply};
 use disk::{ControlDisk as _, Memory, Stored};
 use operators::Operators;
 use rand::{RngExt as _, SeedableRng as _};
@@ -294,7 +294,7 @@
         let there = |disk: u64| {
             self.machines.iter().filter_map(|m| m.group.as_ref()).any(|g| g.durable().disk == disk)
         };
-        let alone = view.previous.is_empty() || view.previous == view.members;
+        let alone = view.previous_members.is_empty() || view.previous_members == view.members;
         let whole = view.members.len() == 2 * self.tolerance + 1;
         whole && alone && view.members.iter().all(|member| there(member.disk))
     }
@@ -336,7 +336,7 @@
         let location = self.locations.get(i).cloned().unwrap_or_default();
         let me = Member { disk: durable.disk, name: format!("m{i}"), ip: machine.ip, location };
         let founder = first && fresh && machine.founder;
-        let settings = Settings { me, founders, founder, tolerance: self.declared };
+        let settings = GroupSettings { me, founders, founder, tolerance: self.declared };
         machine.leaving = None;
         machine.group = Some(Group::new(settings, durable, storage, self.now));
     }
@@ -363,8 +363,8 @@
         held.then(|| self.troubles.cut_until().saturating_sub(self.now) + delay)
     }
 
-    fn send(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, message } in out {
+    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
+        for Outgoing { to, message } in out {
             let Some(to) = self.index(to) else { continue };
             let (sent, ip) = (self.now, self.machines[from].ip);
             let copies = 1 + usize::from(self.lockstep.is_none() && self.lot.random_bool(0.01));
@@ -434,7 +434,7 @@
     }
 
     /// What a machine says counts only if its disk still had power when it was kept.
-    fn send_if_lit(&mut self, i: usize, out: Vec<Out>) {
+    fn send_if_lit(&mut self, i: usize, out: Vec<Outgoing>) {
         if self.machines[i].disk.is_dark() {
             let span = self.lot.random_range(100..2_000);
             return self.power_off(i, span);
@@ -479,10 +479,10 @@
     fn go_back_to_older_state(&mut self, to: usize, message: &Message) {
         let Message::Replicate(epoch, state) = message else { return };
         let group = self.group(to).expect("works");
-        let held = group.durable().state.at;
-        let older = held.epoch == *epoch && state.at < held && group.durable().promised == *epoch;
+        let held = group.durable().state.position;
+        let older = held.epoch == *epoch && state.position < held && group.durable().promised_epoch == *epoch;
         if self.bug == Bug::KeepsOlderState && older {
-            let durable = Durable { state: state.clone(), ..group.durable().clone() };
+            let durable = DurableState { state: state.clone(), ..group.durable().clone() };
             self.machines[to].disk.overwrite(&durable);
             self.start(to, false);
         }
@@ -495,10 +495,10 @@
             false => message,
         };
         self.operators.answered(to, &message, sent, &reply);
-        if matches!(message, Message::Leave(_)) && !reply.taken {
+        if matches!(message, Message::Leave(_)) && !reply.accepted {
             return self.go(to);
         }
-        let out = self.machines[to].group.as_mut().expect("works").reply(&message, sent, reply, now);
+        let out = self.machines[to].group.as_mut().expect("works").handle_reply(&message, sent, reply, now);
         self.send_if_lit(to, out);
     }
 
@@ -536,10 +536,10 @@
             return;
         }
         leaving.asked = now;
-        match self.group(i).expect("works").leave() {
-            Leave::Free => self.go(i),
-            Leave::Wait => {}
-            Leave::Ask(question) => self.send(i, vec![question]),
+        match self.group(i).expect("works").next_leave_step() {
+            LeaveStep::Ready => self.go(i),
+            LeaveStep::Wait => {}
+            LeaveStep::Request(question) => self.send(i, vec![question]),
         }
     }
 
@@ -563,7 +563,7 @@
                         "{}: {:?} {:?}\n",
                         m.ip,
                         group.stage(),
-                        Durable { state: Default::default(), ..group.durable().clone() }
+                        DurableState { state: Default::default(), ..group.durable().clone() }
                     )
                 }
                 None => format!("{}: removed {}\n", m.ip, m.removed),
--- a/crates/control/tests/network/operators.rs
+++ b/crates/control/tests/network/operators.rs
@@ -1,7 +1,7 @@
 //! Operators: they send orders to any machine, again after each answer that is lost or says nothing, and read back. What
 //! they were told is compared with what else they were told, and with what is in force in the end.
 use super::*;
-use control::{Change, Confirmation, Rejected, State};
+use control::{ChangeId, LeadershipConfirmation, Rejected, State};
 
 /// After so long without an answer an operator asks another machine.
 const PATIENCE: Ms = 1_000;
@@ -50,8 +50,8 @@
 
 enum Stage {
     Waits,
-    Commits(Change),
-    Confirms { confirmation: Confirmation, begun: Ms, refuse: bool },
+    Commits(ChangeId),
+    Confirms { confirmation: LeadershipConfirmation, begun: Ms, refuse: bool },
 }
 
 /// What a machine's answer says.
@@ -79,8 +79,8 @@
     pub fn answered(&mut self, machine: usize, message: &Message, sent: Ms, reply: &Reply) {
         for call in self.calls.iter_mut().filter(|call| call.machine == machine) {
             if let Stage::Confirms { confirmation, begun, .. } = &mut call.stage {
-                if matches!(message, Message::Ping(_)) && sent >= *begun {
-                    confirmation.note(reply);
+                if matches!(message, Message::Heartbeat(_)) && sent >= *begun {
+                    confirmation.record_reply(reply);
                 }
             }
         }
@@ -129,7 +129,7 @@
     /// What is in force has to be what was confirmed, and nothing that was refused.
     pub fn check(&self, state: &State) -> Option<String> {
         let taken: BTreeSet<(u64, u64)> =
-            state.taken.iter().map(|taken| (taken.base, taken.version)).collect();
+            state.applied.iter().map(|taken| (taken.base, taken.version)).collect();
         let lost =
             |order: &&Order| order.confirmed.is_some() && !taken.contains(&(order.base, order.version));
         if let Some(order) = self.orders.iter().find(lost) {
@@ -141,9 +141,10 @@
         }
         let digest = |order: &Order| xxhash_rust::xxh3::xxh3_128(&order.body);
         let in_force = |order: &&Order| {
-            let same =
-                |taken: &control::state::Taken| taken.base == order.base && taken.digest == digest(order);
-            order.refused && state.taken.iter().any(same)
+            let same = |taken: &control::state::AppliedConfiguration| {
+                taken.base == order.base && taken.digest == digest(order)
+            };
+            order.refused && state.applied.iter().any(same)
         };
         let refused = self.orders.iter().find(in_force);
         refused.map(|order| format!("order {} on {} was refused and is in force", order.version, order.base))
@@ -251,7 +252,7 @@
             },
             Stage::Commits(change) => {
                 let change = *change;
-                match self.group(machine)?.has_committed(change, now) {
+                match self.group(machine)?.is_committed(change, now) {
                     Some(true) => Some(Answer::Confirmed),
                     Some(false) => return None,
                     None if self.bug == Bug::EarlyAcknowledgement => Some(Answer::Confirmed),
@@ -276,7 +277,7 @@
         let Order { base, body, .. } = self.operators.orders[order].clone();
         let command = Command::Configure { base, body };
         let group = self.machines[call.machine].group.as_mut()?;
-        match group.propose_when_settled(&command, now) {
+        match group.try_propose(&command, now) {
             Some(Ok((change, out))) => {
                 call.stage = Stage::Commits(change);
                 self.send_if_lit(call.machine, out);
@@ -294,7 +295,7 @@
     }
 
     fn begin_to_confirm(&mut self, call: &mut Call, refuse: bool) -> Option<()> {
-        let (confirmation, questions) = self.group(call.machine)?.confirm(self.now)?;
+        let (confirmation, questions) = self.group(call.machine)?.confirm_leadership(self.now)?;
         call.stage = Stage::Confirms { confirmation, begun: self.now, refuse };
         self.send(call.machine, questions);
         Some(())
@@ -304,7 +305,7 @@
         let Stage::Confirms { confirmation, begun, refuse } = &call.stage else { return None };
         let group = self.group(call.machine)?;
         let unconfirmed = self.bug == Bug::ReadsUnconfirmed && !refuse;
-        if !confirmation.holds() && !unconfirmed {
+        if !confirmation.has_majority() && !unconfirmed {
             return (self.now <= begun + 500).then_some(None);
         }
         if !confirmation.is_current(group, self.now) {
@@ -313,7 +314,7 @@
         Some(match refuse {
             true => Some(Answer::Refused),
             // What isn't on all disks yet isn't shown.
-            false if group.committed() < group.last() => None,
+            false if group.committed_change_number() < group.last_change_number() => None,
             false => Some(Answer::Version(group.durable().state.version)),
         })
     }
@@ -353,7 +354,7 @@
                 continue;
             }
             let Some(group) = self.group(i).filter(|group| group.leads(self.now).is_some()) else { continue };
-            let settled = group.committed() >= group.last();
+            let settled = group.committed_change_number() >= group.last_change_number();
             if settled && group.durable().state.version < newest {
                 self.operators.broken =
                     Some(format!("a machine tells {} long after {newest}", group.durable().state.version));
--- a/crates/control/tests/network/troubles.rs
+++ b/crates/control/tests/network/troubles.rs
@@ -251,9 +251,9 @@
         };
         match self.bug {
             Bug::ForgetsState => durable.state = control::State::default(),
-            Bug::ForgetsView => durable.accepted = None,
-            Bug::ForgetsOrders => durable.state.taken.clear(),
-            _ => durable.promised = durable.accepted.as_ref().map_or(0, |view| view.epoch),
+            Bug::ForgetsView => durable.accepted_view = None,
+            Bug::ForgetsOrders => durable.state.applied.clear(),
+            _ => durable.promised_epoch = durable.accepted_view.as_ref().map_or(0, |view| view.epoch),
         }
         disk.overwrite(&durable);
     }
@@ -264,7 +264,11 @@
         self.machines[i].down_until = self.machines[i].down_until.max(self.now + span);
         self.machines[i].disk.wipe();
         if self.bug == Bug::KeepsIdentity {
-            let kept = Durable { disk: before.disk, accepted: before.accepted, ..Durable::default() };
+            let kept = DurableState {
+                disk: before.disk,
+                accepted_view: before.accepted_view,
+                ..DurableState::default()
+            };
             self.machines[i].disk.overwrite(&kept);
         }
     }
--- a/crates/control/tests/replication.rs
+++ b/crates/control/tests/replication.rs
@@ -1,7 +1,7 @@
 //! What a backup keeps, what a lease rests on, and what a member waits for before it goes.
 use control::{
-    Command, Durable, Group, Leave, Member, Message, Ms, Out, Position, Rejected, Settings, State, Storage,
-    View,
+    Command, DurableState, Group, GroupSettings, LeaveStep, Member, Message, Ms, Outgoing, Position,
+    Rejected, State, Storage, View,
 };
 use rstest::rstest;
 use settings::{Location, Tolerance};
@@ -11,7 +11,7 @@
 struct Memory;
 
 impl Storage for Memory {
-    fn save(&mut self, _: &Durable) {}
+    fn save(&mut self, _: &DurableState) {}
 }
 
 fn ip(i: u8) -> IpAddr {
@@ -24,13 +24,13 @@
 
 fn machine(i: u8, founder: bool) -> Group<Memory> {
     let founders = (1..=3).map(ip).collect();
-    let settings = Settings { me: member(i), founders, founder, tolerance: Tolerance::of_machines(1) };
-    let durable = Durable { disk: u64::from(i), ..Durable::default() };
+    let settings = GroupSettings { me: member(i), founders, founder, tolerance: Tolerance::of_machines(1) };
+    let durable = DurableState { disk: u64::from(i), ..DurableState::default() };
     Group::new(settings, durable, Memory, 1)
 }
 
 fn state(epoch: u64, number: u64) -> State {
-    State { at: Position { epoch, number }, version: number, ..State::default() }
+    State { position: Position { epoch, number }, version: number, ..State::default() }
 }
 
 /// A state that was sent again over a new connection arrives after a newer one that was acknowledged: the backup went
@@ -48,7 +48,7 @@
     let mut backup = machine(2, false);
     for (epoch, number) in [first, second] {
         let (reply, _) = backup.handle(ip(1), Message::Replicate(epoch, state(epoch, number)), 10);
-        assert!(reply.taken, "what it holds includes what it was asked to hold");
+        assert!(reply.accepted, "what it holds includes what it was asked to hold");
     }
     assert_eq!(backup.durable().state, state(kept.0, kept.1));
 }
@@ -58,7 +58,7 @@
     let mut backup = machine(2, false);
     backup.handle(ip(1), Message::Replicate(128, state(128, 3)), 10);
     let (reply, _) = backup.handle(ip(3), Message::Replicate(64, state(64, 9)), 20);
-    assert!(!reply.taken);
+    assert!(!reply.accepted);
     assert_eq!(backup.durable().state, state(128, 3));
 }
 
@@ -75,16 +75,16 @@
         Trio { machines, now: 1, cut: Vec::new() }
     }
 
-    fn deliver(&mut self, from: u8, out: Vec<Out>) {
-        let mut queue: Vec<(u8, Out)> = out.into_iter().map(|out| (from, out)).collect();
-        while let Some((from, Out { to, message })) = queue.pop() {
+    fn deliver(&mut self, from: u8, out: Vec<Outgoing>) {
+        let mut queue: Vec<(u8, Outgoing)> = out.into_iter().map(|out| (from, out)).collect();
+        while let Some((from, Outgoing { to, message })) = queue.pop() {
             let to = (1..=self.machines.len() as u8).find(|i| ip(*i) == to).unwrap();
             if self.cut.contains(&from) || self.cut.contains(&to) {
                 continue;
             }
             let (reply, out) = self.machines[to as usize - 1].handle(ip(from), message.clone(), self.now);
             queue.extend(out.into_iter().map(|out| (to, out)));
-            let out = self.machines[from as usize - 1].reply(&message, self.now, reply, self.now);
+            let out = self.machines[from as usize - 1].handle_reply(&message, self.now, reply, self.now);
             queue.extend(out.into_iter().map(|out| (from, out)));
         }
     }
@@ -109,13 +109,12 @@
     fn order(&mut self, i: u8, base: u64, version: u64) -> Result<bool, Rejected> {
         let body = format!(r#"{{"Version":{version},"Routes":[],"Backends":[]}}"#).into_bytes();
         let now = self.now;
-        let Some(proposed) = self.machine(i).propose_when_settled(&Command::Configure { base, body }, now)
-        else {
+        let Some(proposed) = self.machine(i).try_propose(&Command::Configure { base, body }, now) else {
             return Ok(false);
         };
         let (change, out) = proposed?;
         self.deliver(i, out);
-        Ok(self.machine(i).has_committed(change, now) == Some(true))
+        Ok(self.machine(i).is_committed(change, now) == Some(true))
     }
 
     fn leader(&self) -> u8 {
@@ -138,9 +137,9 @@
     trio.pass(1_000);
     let old = trio.leader();
     let asked = trio.now;
-    let (_, questions) = trio.machine(old).confirm(asked).unwrap();
+    let (_, questions) = trio.machine(old).confirm_leadership(asked).unwrap();
     let mut unread = Vec::new();
-    for Out { to, message } in questions {
+    for Outgoing { to, message } in questions {
         let to = (1..=3).find(|i| ip(*i) == to).unwrap();
         let (reply, _) = trio.machine(to).handle(ip(old), message.clone(), asked);
         unread.push((message, reply));
@@ -153,7 +152,7 @@
     let woken = trio.now;
     for (message, reply) in unread {
         let sent = if planted { woken } else { asked };
-        trio.machine(old).reply(&message, sent, reply, woken);
+        trio.machine(old).handle_reply(&message, sent, reply, woken);
     }
     let leads = trio.machine(old).leads(woken).is_some();
     assert_eq!(leads, planted);
@@ -161,8 +160,8 @@
     let refused = trio.order(old, 1, 2) == Err(Rejected::Stale { current: 0 });
     assert_eq!(refused, planted, "a refusal must be confirmed by a majority, which it doesn't reach");
     // Even then a majority's word is missing: nobody answers what it asks now.
-    let confirmation = trio.machine(old).confirm(woken).map(|(confirmation, _)| confirmation);
-    assert!(confirmation.is_none_or(|confirmation| !confirmation.holds()));
+    let confirmation = trio.machine(old).confirm_leadership(woken).map(|(confirmation, _)| confirmation);
+    assert!(confirmation.is_none_or(|confirmation| !confirmation.has_majority()));
 }
 
 /// A planned replacement: the newcomer has the place, and another the copy, before the old member goes.
@@ -174,15 +173,15 @@
     let mut waited = 0;
     loop {
         let mut waits = false;
-        match group.machines[which as usize - 1].leave() {
-            Leave::Free => {}
-            Leave::Wait => waits = true,
-            Leave::Ask(question) => {
+        match group.machines[which as usize - 1].next_leave_step() {
+            LeaveStep::Ready => {}
+            LeaveStep::Wait => waits = true,
+            LeaveStep::Request(question) => {
                 let is_leave = matches!(question.message, Message::Leave(_));
                 let to = (1..=4).find(|i| ip(*i) == question.to).unwrap();
                 let (reply, out) =
                     group.machines[to as usize - 1].handle(ip(which), question.message, group.now);
-                waits |= reply.taken || !is_leave;
+                waits |= reply.accepted || !is_leave;
                 group.deliver(to, out);
             }
         }
@@ -196,7 +195,7 @@
     group.cut.push(which);
     group.pass(50);
     let view = group.view();
-    assert!(!view.has(u64::from(which)) && view.has(4), "{view:?}");
+    assert!(!view.is_member(u64::from(which)) && view.is_member(4), "{view:?}");
     assert!(!view.holds_state(u64::from(which)));
     // The next loss may come at once: any one of those that are left.
     let lost = *[1, 2, 3, 4].iter().find(|i| **i != which).unwrap();
@@ -213,13 +212,13 @@
     group.pass(1_500);
     let backup = group.view().backups[0];
     for _ in 0..20 {
-        if let Leave::Ask(question) = group.machines[backup as usize - 1].leave() {
+        if let LeaveStep::Request(question) = group.machines[backup as usize - 1].next_leave_step() {
             group.deliver(backup as u8, vec![question]);
         }
         group.pass(100);
     }
     assert!(!group.view().holds_state(backup), "{:?}", group.view());
-    assert!(group.view().has(backup), "it stays a member");
+    assert!(group.view().is_member(backup), "it stays a member");
 }
 
 /// A message that was meant for a member whose place, at the same address, another disk has now.
@@ -230,20 +229,20 @@
     let leader = group.leader();
     let before = group.view();
     let wiped = *before.backups.first().unwrap() as u8;
-    let settings = Settings {
+    let settings = GroupSettings {
         me: Member { disk: 77, ..member(wiped) },
         founders: (1..=3).map(ip).collect(),
         founder: false,
         tolerance: Tolerance::of_machines(1),
     };
-    let durable = Durable { disk: 77, ..Durable::default() };
+    let durable = DurableState { disk: 77, ..DurableState::default() };
     let mut stranger = Group::new(settings, durable, Memory, group.now);
     let message = Message::Replicate(before.epoch, state(before.epoch, 50));
     let (reply, _) = stranger.handle(ip(leader), message.clone(), group.now);
-    let committed = group.machines[leader as usize - 1].committed();
+    let committed_change_number = group.machines[leader as usize - 1].committed_change_number();
     let now = group.now;
-    group.machines[leader as usize - 1].reply(&message, now, reply, now);
-    assert_eq!(group.machines[leader as usize - 1].committed(), committed);
+    group.machines[leader as usize - 1].handle_reply(&message, now, reply, now);
+    assert_eq!(group.machines[leader as usize - 1].committed_change_number(), committed_change_number);
 }
 
 /// There is no log: a member that missed hundreds of changes gets one state, when it is to hold it again.
--- a/crates/control/tests/stores_seen.rs
+++ b/crates/control/tests/stores_seen.rs
@@ -10,7 +10,7 @@
 
 fn seen(state: &mut State, stores: Vec<Store>) {
     let events = state.decide(&Command::StoresSeen(stores)).expect("nothing rejects it");
-    events.iter().for_each(|event| state.fold(event));
+    events.iter().for_each(|event| state.apply(event));
 }
 
 /// A machine's disk was replaced twice before anybody noted it: the last one counts, as if they had been noted one by one.
@@ -23,5 +23,5 @@
     assert_eq!(together.stores, one_by_one.stores);
     let active: Vec<u64> = together.stores.active().map(|store| store.disk).collect();
     assert_eq!(active, [2, 4]);
-    assert_eq!(together.stores.final_heir(1), Some(4));
+    assert_eq!(together.stores.final_successor(1), Some(4));
 }
--- a/crates/node/src/control/api.rs
+++ b/crates/node/src/control/api.rs
@@ -42,7 +42,7 @@
         settings.listen.control.as_ref().and_then(|address| address.rsplit(':').next().map(str::to_string));
     let primary = control.group.borrow().primary().filter(|ip| *ip != settings.own_ip());
     match (primary, port) {
-        (Some(ip), Some(port)) if control.group.borrow().primary_elsewhere() => {
+        (Some(ip), Some(port)) if control.group.borrow().another_machine_leads() => {
             Answer::empty(307).with("Location", format!("http://{ip}:{port}{}", request.target))
         }
         _ => Answer::text(503, "no primary is known yet; ask again").with("Retry-After", "1"),
@@ -50,7 +50,8 @@
 }
 
 async fn replace(control: &Rc<Control>, request: &Request) -> Answer {
-    if control.group.borrow().leads(control.now()).is_none() && control.group.borrow().primary_elsewhere() {
+    if control.group.borrow().leads(control.now()).is_none() && control.group.borrow().another_machine_leads()
+    {
         return elsewhere(control, request);
     }
     let base = match request.header("x-base-version") {
@@ -64,8 +65,8 @@
     match control.change(command).await {
         Changed::Done => Answer::json(200, "{}"),
         Changed::Rejected(Rejected::Invalid(faults)) => Answer::text(400, &faults.to_string()),
-        Changed::Rejected(Rejected::Forgotten { base }) => {
-            Answer::text(503, &Rejected::Forgotten { base }.to_string())
+        Changed::Rejected(Rejected::BaseTooOld { base }) => {
+            Answer::text(503, &Rejected::BaseTooOld { base }.to_string())
         }
         Changed::Rejected(stale) => refuse(control, request, 412, &stale).await,
         Changed::Unknown => elsewhere(control, request),
@@ -125,7 +126,7 @@
         return elsewhere(control, request);
     }
     let Some(state) = control.committed_state() else { return elsewhere(control, request) };
-    let emptied = state.stores.retired(name).map(|store| store.emptied);
+    let emptied = state.stores.last_retiring_named(name).map(|store| store.emptied);
     match emptied {
         Some(true) => Answer::json(200, r#"{"State":"completed"}"#),
         Some(false) => Answer::json(200, r#"{"State":"running"}"#),
--- a/crates/node/src/control/census.rs
+++ b/crates/node/src/control/census.rs
@@ -66,7 +66,7 @@
             self.since.clear();
         }
         self.epoch = view.epoch;
-        let leaving = |disk: u64| view.get(disk).is_some_and(|store| store.leaving && !store.gone);
+        let leaving = |disk: u64| view.get(disk).is_some_and(|store| store.leaving && !store.declared_lost);
         self.since.retain(|disk, _| leaving(*disk));
         for store in view.active().filter(|store| store.leaving) {
             self.since.entry(store.disk).or_insert(now);
@@ -142,7 +142,7 @@
         let whole = |store: &Store| {
             self.custody(store.disk, now).is_some_and(|custody| custody.whole && custody.epoch >= view.epoch)
         };
-        let heir = view.final_heir(lost.disk).and_then(|heir| self.custody(heir, now));
+        let heir = view.final_successor(lost.disk).and_then(|heir| self.custody(heir, now));
         let inherited = heir.is_some_and(|custody| custody.inherited.contains(&lost.disk));
         inherited && view.active().all(whole)
     }
@@ -153,19 +153,19 @@
     fn emptying(&self, view: &StoreView, now: u64) -> Option<Command> {
         let mut retiring = view.stores.iter().filter(|store| store.retiring && !store.emptied);
         if let Some(store) = retiring.next() {
-            if !store.gone {
+            if !store.declared_lost {
                 let idle = self.custody(store.disk, now).is_some_and(|custody| custody.idle);
                 return idle.then(|| self.loss_of(store, view, now));
             }
             return self.is_empty(store, view, now).then_some(Command::Retired(store.disk));
         }
-        let mut lost = view.stores.iter().filter(|store| store.gone && !store.emptied);
+        let mut lost = view.stores.iter().filter(|store| store.declared_lost && !store.emptied);
         let is_made_good = |store: &Store| store.leaving || self.is_empty(store, view, now);
         lost.find(|store| is_made_good(store)).map(|store| Command::Emptied(store.disk))
     }
 
     fn note_losses(&mut self, view: &StoreView, now: u64) {
-        for store in view.stores.iter().filter(|store| store.gone && !store.emptied) {
+        for store in view.stores.iter().filter(|store| store.declared_lost && !store.emptied) {
             // What it had was made whole from when it fell silent on, not from when it was given up.
             let at = if self.since.is_none() { 0 } else { now.saturating_sub(self.silent(store.disk, now)) };
             self.losses.entry(store.disk).or_insert(at);
@@ -182,11 +182,11 @@
         let silent = self.silent(store.disk, now);
         let since_then = |lost: &Store| self.losses.get(&lost.disk).is_some_and(|at| at + silent >= now);
         let taken_over = |lost: &Store| {
-            let heir = view.final_heir(lost.disk).and_then(|heir| self.store(heir));
+            let heir = view.final_successor(lost.disk).and_then(|heir| self.store(heir));
             heir.is_some_and(|heir| heir.hello.custody.inherited.contains(&lost.disk))
         };
         // A retired store was whole elsewhere before it went.
-        let lost = view.stores.iter().filter(|lost| lost.gone && !lost.emptied && !lost.retiring);
+        let lost = view.stores.iter().filter(|lost| lost.declared_lost && !lost.emptied && !lost.retiring);
         let open = lost.filter(|lost| since_then(lost) || !taken_over(lost));
         let missed: Vec<&Location> = open.chain([store]).map(|store| &store.location).collect();
         tolerance.covers_loss_of(&missed) || silent >= LOST_ANYWAY
@@ -196,7 +196,7 @@
     fn loss_of(&self, store: &Store, view: &StoreView, now: u64) -> Command {
         let silent = |store: &&Store| self.silent(store.disk, now) >= HEARD_LATELY;
         let silent: BTreeSet<u64> = view.active().filter(silent).map(|store| store.disk).collect();
-        Command::StoreLost { disk: store.disk, silent }
+        Command::StoreLost { disk: store.disk, unreachable: silent }
     }
 
     /// Stores that were heard lately and of which the view doesn't have what they say of themselves. All of them are one
@@ -208,7 +208,7 @@
         lately.sort_by_key(|watcher| watcher.first);
         let stores = lately.into_iter().map(|watcher| watcher.hello.store());
         let is_news = |store: &Store| {
-            view.get(store.disk).is_none_or(|known| !known.gone && !known.says_the_same(store))
+            view.get(store.disk).is_none_or(|known| !known.declared_lost && !known.has_same_details(store))
         };
         stores.filter(is_news).collect()
     }
@@ -230,7 +230,7 @@
         }
         if view.owners.is_empty() {
             let ready = self.first_store.is_some_and(|first| now >= first + FIRST_STORES);
-            return ready.then_some(Command::ShareOut);
+            return ready.then_some(Command::AssignPartitions);
         }
         if let Some(command) = self.emptying(view, now) {
             return Some(command);
--- a/crates/node/src/control/census_tests.rs
+++ b/crates/node/src/control/census_tests.rs
@@ -53,8 +53,8 @@
     }
 
     fn lose(&mut self, disk: u64, silent: &BTreeSet<u64>) {
-        let heir = self.view.heir_for(disk, silent);
-        self.view.lose(disk, heir);
+        let heir = self.view.choose_successor(disk, silent);
+        self.view.declare_lost(disk, heir);
     }
 
     /// Lets time pass; the disks that were given up.
@@ -68,7 +68,7 @@
                 hello.custody.leaving = self.leaving == Some(*disk);
                 (hello.custody.whole, hello.custody.epoch) = (!self.heirs_are_slow, self.view.epoch);
                 if !self.heirs_are_slow {
-                    hello.custody.inherited = self.view.inherited_by(*disk);
+                    hello.custody.inherited = self.view.lost_stores_taken_over_by(*disk);
                 }
                 self.census.heard(&hello, Seen::default(), self.now);
             }
@@ -79,17 +79,17 @@
                         let before =
                             self.view.active().find(|s| s.name == store.name && s.disk != store.disk);
                         let before = before.map(|store| store.disk);
-                        self.view.put(store);
+                        self.view.upsert(store);
                         before.into_iter().for_each(|disk| self.lose(disk, &BTreeSet::new()));
                         lost.extend(before);
                     }
                 }
-                Some(Command::ShareOut) => self.view.share_out(),
-                Some(Command::StoreLost { disk, silent }) => {
+                Some(Command::AssignPartitions) => self.view.assign_partitions(),
+                Some(Command::StoreLost { disk, unreachable: silent }) => {
                     self.lose(disk, &silent);
                     lost.push(disk);
                 }
-                Some(Command::Emptied(disk)) => self.view.empty(disk),
+                Some(Command::Emptied(disk)) => self.view.mark_emptied(disk),
                 _ => {}
             }
             for follower in &mut self.followers {
@@ -165,7 +165,7 @@
     play.up.retain(|(machine, _)| *machine != 2);
     play.up.push((2, 20));
     assert_eq!(play.pass(500), [2]);
-    assert_eq!(play.view.final_heir(2), Some(20));
+    assert_eq!(play.view.final_successor(2), Some(20));
 }
 
 #[test]
@@ -280,7 +280,7 @@
     play.up.retain(|(_, disk)| *disk != 1);
     assert_eq!(play.pass(20_000), [1]);
     assert!(play.view.get(1).unwrap().emptied);
-    let heir = play.view.final_heir(1).unwrap();
+    let heir = play.view.final_successor(1).unwrap();
     play.up.retain(|(_, disk)| *disk != heir);
     play.census = Census::default();
     assert_eq!(play.pass(20_000), [heir]);
@@ -296,7 +296,7 @@
     play.up.retain(|(_, disk)| *disk != 1);
     play.heirs_are_slow = true;
     assert_eq!(play.pass(20_000), [1]);
-    let heir = play.view.final_heir(1).unwrap();
+    let heir = play.view.final_successor(1).unwrap();
     play.up.retain(|(_, disk)| *disk != heir);
     play.census = Census::default();
     assert_eq!(play.pass(20_000), [heir]);
@@ -319,7 +319,7 @@
         play.pass(1_000);
     }
     assert_eq!(play.pass(6_000), [1, 2]);
-    assert!(play.view.stores.iter().filter(|store| store.gone).all(|store| store.emptied));
+    assert!(play.view.stores.iter().filter(|store| store.declared_lost).all(|store| store.emptied));
 }
 
 /// A store that comes back after a planned stop is missed like any other from then on, by a later primary too.
@@ -366,9 +366,9 @@
     play.pass(5_000);
     play.up.retain(|(machine, _)| machine % 2 != 0);
     assert_eq!(play.pass(17_000), [2, 4]);
-    let heirs = [2, 4].map(|disk| play.view.final_heir(disk).unwrap());
+    let heirs = [2, 4].map(|disk| play.view.final_successor(disk).unwrap());
     assert!(heirs.iter().all(|heir| heir % 2 == 1), "{heirs:?}");
-    assert!(play.view.stores.iter().all(|store| store.heir.is_none_or(|heir| heir % 2 == 1)));
+    assert!(play.view.stores.iter().all(|store| store.successor.is_none_or(|heir| heir % 2 == 1)));
 }
 
 /// A store that has said that it stops is no heir, though it owns as little as the others and is the nearest.
@@ -379,7 +379,7 @@
     play.leaving = Some(1);
     play.up.retain(|(machine, _)| *machine != 2);
     assert_eq!(play.pass(17_000), [2]);
-    assert!(play.view.final_heir(2).is_some_and(|heir| heir != 1));
+    assert!(play.view.final_successor(2).is_some_and(|heir| heir != 1));
 }
 
 /// A store leaves for good, with no empty one to follow it, while the primary changes three times in 7 s: it was waited for
--- a/crates/node/src/control/disk.rs
+++ b/crates/node/src/control/disk.rs
@@ -1,6 +1,6 @@
 //! The files of a control machine's state.
-use control::disk::Disk;
-use control::Durable;
+use control::disk::DiskStorage;
+use control::DurableState;
 use ringlog::{Folder, Shape};
 use std::path::Path;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Opens the folder and reads the last state; an empty one with disk 0 where there was none.
-pub fn open(folder: &Path) -> anyhow::Result<(Durable, Disk<Folder>)> {
+pub fn open(folder: &Path) -> anyhow::Result<(DurableState, DiskStorage<Folder>)> {
     let on_error = |error: &ringlog::RingError| {
         log::error!("the control state cannot be written: {error}");
         std::thread::sleep(PAUSE);
     };
-    Ok(Disk::open(Folder::new(folder), SHAPE, Box::new(on_error))?)
+    Ok(DiskStorage::open(Folder::new(folder), SHAPE, Box::new(on_error))?)
 }
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -17,7 +17,10 @@
 use crate::process::{self, stopped, Process};
 use crate::watch::HOLD;
 use anyhow::Context as _;
-use control::{Command, Durable, Group, Leave, Member, Message, Out, Rejected, Reply, Stage, State, Storage};
+use control::{
+    Command, DurableState, Group, LeaveStep, Member, Message, Outgoing, Rejected, Reply, Stage, State,
+    Storage,
+};
 use monoio::net::TcpListener;
 use net::http::Bounds;
 use net::rpc::{serve, Peers};
@@ -94,7 +97,12 @@
 
 impl Control {
     /// A machine of the group with what is on its disk.
-    pub fn new(process: Process, mut durable: Durable, disk: Box<dyn Storage>, peers: Peers) -> Rc<Control> {
+    pub fn new(
+        process: Process,
+        mut durable: DurableState,
+        disk: Box<dyn Storage>,
+        peers: Peers,
+    ) -> Rc<Control> {
         let fresh = durable.disk == 0;
         if fresh {
             durable.disk = runtime::unique();
@@ -106,7 +114,7 @@
             ip: settings.own_ip(),
             location: settings.location(),
         };
-        let group = control::Settings {
+        let group = control::GroupSettings {
             me,
             founders: settings.seed_ips(),
             founder: fresh && settings.bootstrap && settings.seed_ips().contains(&settings.own_ip()),
@@ -120,7 +128,7 @@
             changes: Watched::default(),
             changing: Cell::new(false),
             census: RefCell::default(),
-            stage: Cell::new(Stage::Follows),
+            stage: Cell::new(Stage::Follower),
             unmet: RefCell::default(),
             process,
         })
@@ -183,7 +191,7 @@
     }
 
     /// Sends messages within the group; their answers go back to it.
-    fn send(self: &Rc<Self>, out: Vec<Out>) {
+    fn send(self: &Rc<Self>, out: Vec<Outgoing>) {
         for message in out {
             let control = self.clone();
             runtime::spawn(async move {
@@ -192,11 +200,11 @@
         }
     }
 
-    async fn exchange(self: &Rc<Self>, out: Out) -> Option<Reply> {
+    async fn exchange(self: &Rc<Self>, out: Outgoing) -> Option<Reply> {
         let to = SocketAddr::new(out.to, self.process.settings.control_port());
         let (call, sent) = (Call::Group(out.message.clone()), self.now());
         let reply = self.peers.call::<Call, Reply>(to, &call, GROUP_CALL).await.ok()?;
-        let more = self.group.borrow_mut().reply(&out.message, sent, reply.clone(), self.now());
+        let more = self.group.borrow_mut().handle_reply(&out.message, sent, reply.clone(), self.now());
         self.publish();
         self.note_stage();
         self.send(more);
@@ -206,7 +214,7 @@
     /// Shows watchers what is committed.
     fn publish(&self) {
         let group = self.group.borrow();
-        if group.leads(self.now()).is_none() || group.committed() < group.last() {
+        if group.leads(self.now()).is_none() || group.committed_change_number() < group.last_change_number() {
             return;
         }
         if self.published.borrow_mut().publish(&group.durable().state) {
@@ -218,7 +226,8 @@
     fn committed_state(&self) -> Option<Rc<State>> {
         let published = self.published.borrow();
         let group = self.group.borrow();
-        let current = group.leads(self.now()).is_some_and(|view| published.state().at.epoch >= view.epoch);
+        let current =
+            group.leads(self.now()).is_some_and(|view| published.state().position.epoch >= view.epoch);
         current.then(|| published.state().clone())
     }
 
@@ -241,10 +250,10 @@
         // What the last epoch left is on two disks before anything is built on it.
         let lead_by = self.now() + LEAD_SOON;
         let proposed = loop {
-            let proposed = self.group.borrow_mut().propose_when_settled(&command, self.now());
+            let proposed = self.group.borrow_mut().try_propose(&command, self.now());
             match proposed {
                 Some(proposed) => break proposed,
-                None if self.now() > until || self.group.borrow().primary_elsewhere() => {
+                None if self.now() > until || self.group.borrow().another_machine_leads() => {
                     return Changed::Unknown
                 }
                 None if self.now() > lead_by && self.group.borrow().leads(self.now()).is_none() => {
@@ -259,7 +268,7 @@
         };
         self.send(out);
         loop {
-            let done = self.group.borrow().has_committed(change, self.now());
+            let done = self.group.borrow().is_committed(change, self.now());
             match done {
                 Some(true) => break,
                 Some(false) => return Changed::Unknown,
@@ -273,7 +282,7 @@
 
     /// Whether a majority says, from now on, that this machine leads.
     async fn confirm(self: &Rc<Self>) -> bool {
-        let begun = self.group.borrow().confirm(self.now());
+        let begun = self.group.borrow().confirm_leadership(self.now());
         let Some((confirmation, questions)) = begun else { return false };
         let confirmation = Rc::new(RefCell::new(confirmation));
         let answers = Rc::new(Watched::default());
@@ -281,7 +290,7 @@
             let (control, confirmation, answers) = (self.clone(), confirmation.clone(), answers.clone());
             runtime::spawn(async move {
                 if let Some(reply) = control.exchange(question).await {
-                    confirmation.borrow_mut().note(&reply);
+                    confirmation.borrow_mut().record_reply(&reply);
                     answers.raise();
                 }
             });
@@ -289,7 +298,7 @@
         let until = self.now() + GROUP_CALL.as_millis() as u64;
         loop {
             let seen = answers.get();
-            if confirmation.borrow().holds() {
+            if confirmation.borrow().has_majority() {
                 return confirmation.borrow().is_current(&self.group.borrow(), self.now());
             }
             let left = until.saturating_sub(self.now());
@@ -330,7 +339,7 @@
             let newer = self.published.borrow().newer(seen, hello.role);
             let left = until.saturating_sub(self.now());
             if !newer.is_empty() || left == 0 {
-                return self.news_of(state.at.epoch, newer);
+                return self.news_of(state.position.epoch, newer);
             }
             let before = self.changes.get();
             // A primary that loses its place says so soon, and watchers go to the next.
@@ -356,7 +365,7 @@
         let state = &group.durable().state;
         let members = group.view().map_or(Vec::new(), |view| view.members.clone());
         let stores = state.stores.stores.iter().map(|store| {
-            serde_json::json!({"name": store.name, "ip": store.ip.to_string(), "zone": store.location.zone, "region": store.location.region, "lost": store.gone})
+            serde_json::json!({"name": store.name, "ip": store.ip.to_string(), "zone": store.location.zone, "region": store.location.region, "lost": store.declared_lost})
         });
         let status = serde_json::json!({
             "node": self.process.settings.node_name,
@@ -366,7 +375,7 @@
             "members": members.iter().map(|m| m.name.clone()).collect::<Vec<_>>(),
             "tolerance_unmet": group.unmet_tolerance(),
             "version": state.version,
-            "change": state.at.number,
+            "change": state.position.number,
             "stores": stores.collect::<Vec<_>>(),
             "endpoints": self.published.borrow().endpoint_count(),
             "watchers": self.census.borrow().watchers(self.now()),
@@ -378,16 +387,16 @@
     async fn leave(self: &Rc<Self>) {
         let until = self.now() + LEAVE.as_millis() as u64;
         while self.now() < until {
-            let step = self.group.borrow().leave();
+            let step = self.group.borrow().next_leave_step();
             let answer = match step {
-                Leave::Free => break,
-                Leave::Wait => None,
-                Leave::Ask(question) => {
+                LeaveStep::Ready => break,
+                LeaveStep::Wait => None,
+                LeaveStep::Request(question) => {
                     let place = matches!(question.message, Message::Leave(_));
                     self.exchange(question).await.filter(|_| place)
                 }
             };
-            if answer.is_some_and(|answer| !answer.taken) {
+            if answer.is_some_and(|answer| !answer.accepted) {
                 break;
             }
             runtime::sleep(LEAVE_EVERY).await;
--- a/crates/node/src/control/news.rs
+++ b/crates/node/src/control/news.rs
@@ -63,7 +63,7 @@
 
     /// Takes a committed state; whether it is another one.
     pub fn publish(&mut self, state: &State) -> bool {
-        if self.state.at == state.at {
+        if self.state.position == state.position {
             return false;
         }
         let newest = self.configurations.back().map_or(0, |newest| newest.version);
--- a/crates/node/src/edge/handover.rs
+++ b/crates/node/src/edge/handover.rs
@@ -168,12 +168,12 @@
             self.health.is_suspect(SocketAddr::new(store.ip, self.process.settings.store_port()))
         };
         if let Some(key) = message.envelope.home_key() {
-            let owner = stores.owner(key.digest()).filter(|store| !store.gone && !suspected(store));
+            let owner = stores.owner(key.digest()).filter(|store| !store.declared_lost && !suspected(store));
             return owner.into_iter().cloned().collect();
         }
         let turn = self.turn.get();
         self.turn.set(turn + 1);
-        let mut sound: Vec<Store> = stores.staying().filter(|store| !suspected(store)).cloned().collect();
+        let mut sound: Vec<Store> = stores.remaining().filter(|store| !suspected(store)).cloned().collect();
         let count = sound.len().max(1);
         sound.rotate_left(turn % count);
         sound.sort_by_key(|store| store.location.distance(&self.location));
--- a/crates/node/src/edge/lookup.rs
+++ b/crates/node/src/edge/lookup.rs
@@ -50,7 +50,7 @@
         let ttl = (self.process.settings.bounds.status_ttl_s * 1_000.0) as u64;
         let now = self.process.clock.ms();
         let mut losses = self.losses.borrow_mut();
-        for store in self.known.stores().stores.iter().filter(|store| store.gone) {
+        for store in self.known.stores().stores.iter().filter(|store| store.declared_lost) {
             losses.entry(store.disk).or_insert(now);
         }
         losses.values().all(|at| now >= at + ttl)
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -94,7 +94,7 @@
     /// What the stores that are there to stay can't give of the tolerance.
     pub fn unmet_tolerance(&self) -> Option<String> {
         let view = self.known.stores();
-        let locations: Vec<&Location> = view.staying().map(|store| &store.location).collect();
+        let locations: Vec<&Location> = view.remaining().map(|store| &store.location).collect();
         self.tolerance.unmet(&locations)
     }
 
@@ -116,7 +116,7 @@
             return Placement::anywhere(present, copies);
         }
         let view = self.known.stores();
-        let staying = view.staying().filter(|store| present.contains(&store.disk));
+        let staying = view.remaining().filter(|store| present.contains(&store.disk));
         let locations = staying.map(|store| (store.disk, store.location.clone())).collect();
         let own = (!self.leaving.get()).then(|| self.location.clone());
         Placement::anywhere(present, copies).with_spread(self.tolerance, locations, own)
--- a/crates/node/src/store/following.rs
+++ b/crates/node/src/store/following.rs
@@ -15,7 +15,7 @@
             seen = self.known.changes.get();
             let view = self.known.stores();
             let me = view.get(self.disk);
-            if let Some(store) = me.filter(|store| store.gone) {
+            if let Some(store) = me.filter(|store| store.declared_lost) {
                 self.is_given_up(store.retiring);
                 continue;
             }
@@ -28,7 +28,7 @@
             }
             self.keep_copiers(&view);
             self.epoch.set(view.epoch);
-            for lost in view.inherited_by(self.disk) {
+            for lost in view.lost_stores_taken_over_by(self.disk) {
                 let known =
                     self.inherited.borrow().contains(&lost) || self.inheriting.borrow().contains_key(&lost);
                 if !known {
@@ -71,7 +71,7 @@
     fn keep_copiers(self: &Rc<Self>, view: &control::StoreView) {
         let mut copiers = self.copiers.borrow_mut();
         copiers.retain(|disk, copier| {
-            let store = view.get(*disk).filter(|store| !store.gone);
+            let store = view.get(*disk).filter(|store| !store.declared_lost);
             let stays = store.is_some_and(|store| copier.address().ip() == store.ip);
             if !stays {
                 copier.end();
--- a/crates/node/src/store/leaving.rs
+++ b/crates/node/src/store/leaving.rs
@@ -180,14 +180,14 @@
     async fn hand_back_all(&self, anyway: bool) -> bool {
         let view = self.known.stores();
         let mut all = true;
-        for owner in view.stores.iter().filter(|store| store.gone) {
+        for owner in view.stores.iter().filter(|store| store.declared_lost) {
             let messages = custody::messages_of(&self.queue.borrow(), owner.disk);
             let ended = custody::ended_of(&self.queue.borrow(), owner.disk);
             if messages.is_empty() && ended.is_empty() {
                 continue;
             }
             log::info!("{} messages and {} ended ones are handed back", messages.len(), ended.len());
-            let Some(heir) = view.final_heir(owner.disk).and_then(|heir| view.get(heir)) else {
+            let Some(heir) = view.final_successor(owner.disk).and_then(|heir| view.get(heir)) else {
                 all = false;
                 continue;
             };
@@ -238,7 +238,7 @@
 
     /// Whether a store that was given up hands back to this one what it has of an owner's messages.
     fn takes_back(&self, owner: u64) -> bool {
-        let is_heir = self.known.stores().final_heir(owner) == Some(self.disk);
+        let is_heir = self.known.stores().final_successor(owner) == Some(self.disk);
         is_heir && self.inherited.borrow().contains(&owner) && !self.leaving.get()
     }
 
--- a/crates/node/src/store/preserve.rs
+++ b/crates/node/src/store/preserve.rs
@@ -27,7 +27,7 @@
         let view = self.known.stores();
         let (present, now) = (self.present(), runtime::now());
         let silent = self.copiers.borrow().values().filter(|c| c.is_silent(now)).map(|c| c.disk).collect();
-        let gone = view.stores.iter().filter(|store| store.gone).map(|store| store.disk).collect();
+        let gone = view.stores.iter().filter(|store| store.declared_lost).map(|store| store.disk).collect();
         let mut absent: BTreeSet<u64> = BTreeSet::union(&silent, &gone).copied().collect();
         absent.remove(&self.disk);
         let (due, changed) = self.absences.borrow_mut().look(&present, &absent);
@@ -52,7 +52,7 @@
     /// Which messages of an owner other stores should hold, as far as they are known here.
     fn targets(&self, owner: u64, present: &BTreeSet<u64>) -> BTreeMap<u64, Ids> {
         let view = self.known.stores();
-        let stays = |disk: &u64| view.get(*disk).is_some_and(|store| !store.gone && !store.retiring);
+        let stays = |disk: &u64| view.get(*disk).is_some_and(|store| !store.declared_lost && !store.retiring);
         let mut stores: BTreeSet<u64> = present.iter().copied().filter(stays).collect();
         stores.insert(self.disk);
         let given_up = self.known.store(owner).is_none();
--- a/crates/node/src/store/races.rs
+++ b/crates/node/src/store/races.rs
@@ -58,7 +58,7 @@
     /// Asks the stores that were given a message before, or their heirs, to leave it to this one.
     pub async fn ask_to_leave(&self, message: &Message) -> Asked {
         let view = self.known.stores();
-        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_heir(*disk));
+        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_successor(*disk));
         let others: BTreeSet<u64> = owners.filter(|disk| *disk != self.disk).collect();
         let mut silent = Vec::new();
         for disk in others {
@@ -166,7 +166,7 @@
     /// Whether a store, or its heir, owns a message; nothing if it doesn't answer.
     async fn ask_whether_owned(&self, id: &str, disk: u64) -> Option<bool> {
         let view = self.known.stores();
-        let Some(owner) = view.final_heir(disk).filter(|owner| *owner != self.disk) else {
+        let Some(owner) = view.final_successor(disk).filter(|owner| *owner != self.disk) else {
             return Some(false);
         };
         let to = SocketAddr::new(view.get(owner)?.ip, self.port);
--- a/crates/node/src/tools.rs
+++ b/crates/node/src/tools.rs
@@ -1,6 +1,6 @@
 //! What operators run by hand: checks of files, the status of a running system, a look into a ring of files.
 use anyhow::Context as _;
-use control::Durable;
+use control::DurableState;
 use net::client::Client;
 use net::http::encode_request;
 use net::repeat::Repeat;
@@ -137,10 +137,10 @@
 }
 
 fn control_line(bytes: &[u8]) -> anyhow::Result<String> {
-    let durable: Durable =
+    let durable: DurableState =
         borsh::from_slice(bytes).context("the last record is none of this version; update")?;
-    let epoch = durable.accepted.as_ref().map_or(0, |view| view.epoch);
-    let (version, change) = (durable.state.version, durable.state.at.number);
+    let epoch = durable.accepted_view.as_ref().map_or(0, |view| view.epoch);
+    let (version, change) = (durable.state.version, durable.state.position.number);
     Ok(format!(
         "control, disk {:016x}: epoch {epoch}, change {change}, configuration {version}",
         durable.disk
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -77,7 +77,7 @@
 
     /// A store by the identity of its disk, if that isn't lost.
     pub fn store(&self, disk: u64) -> Option<Store> {
-        self.stores.borrow().get(disk).filter(|store| !store.gone).cloned()
+        self.stores.borrow().get(disk).filter(|store| !store.declared_lost).cloned()
     }
 
     /// The endpoints on the platform's list.
--- a/crates/node/tests/control_group/mod.rs
+++ b/crates/node/tests/control_group/mod.rs
@@ -1,7 +1,7 @@
 //! Control machines and watchers on a simulated network, operators, and troubles of the primary.
 mod operators;
 
-use control::{Durable, Storage};
+use control::{DurableState, Storage};
 use net::http::{Answer, Request};
 use net::rpc::Peers;
 use net::runtime::{self, sleep};
@@ -80,10 +80,10 @@
 
 /// The disk of a machine: what was saved last.
 #[derive(Clone, Default)]
-struct SavedState(Rc<RefCell<Durable>>);
+struct SavedState(Rc<RefCell<DurableState>>);
 
 impl Storage for SavedState {
-    fn save(&mut self, durable: &Durable) {
+    fn save(&mut self, durable: &DurableState) {
         *self.0.borrow_mut() = durable.clone();
     }
 }
--- a/crates/node/tests/model/control.rs
+++ b/crates/node/tests/model/control.rs
@@ -54,7 +54,7 @@
     pub fn change(&self, command: Command) {
         let Ok(events) = self.state.borrow().decide(&command) else { return };
         for event in &events {
-            self.state.borrow_mut().fold(event);
+            self.state.borrow_mut().apply(event);
         }
         if !events.is_empty() {
             self.changes.raise();
@@ -74,7 +74,7 @@
             let wanted = self.census.borrow_mut().wanted(&stores, self.simulation.ms(), self.tolerance);
             wanted.into_iter().for_each(|command| self.change(command));
             if self.retires_at_once.get() {
-                let gone = stores.stores.iter().filter(|s| s.retiring && s.gone && !s.emptied);
+                let gone = stores.stores.iter().filter(|s| s.retiring && s.declared_lost && !s.emptied);
                 gone.for_each(|store| self.change(Command::Retired(store.disk)));
             }
         }
--- a/crates/node/tests/model/mod.rs
+++ b/crates/node/tests/model/mod.rs
@@ -302,7 +302,8 @@
         }
         (self.seen.operation_repeats, self.seen.operations) = self.repeats_and_operations();
         self.seen.counts = self.endpoints.counts();
-        self.seen.given_up = self.control.state.borrow().stores.stores.iter().filter(|s| s.gone).count();
+        self.seen.given_up =
+            self.control.state.borrow().stores.stores.iter().filter(|s| s.declared_lost).count();
         self.seen.broken = self.endpoints.broken.borrow().clone();
         if self.seen.broken.is_some() {
             println!("{}", self.describe());
@@ -315,7 +316,7 @@
         let mut lines: Vec<String> = self.machines.iter().map(Machine::describe).collect();
         let state = self.control.state.borrow();
         for store in &state.stores.stores {
-            let (gone, heir) = (store.gone, store.heir);
+            let (gone, heir) = (store.declared_lost, store.successor);
             let (retiring, emptied) = (store.retiring, store.emptied);
             let line = format!("view {} {:016x}", store.name, store.disk);
             lines
--- a/crates/node/tests/news.rs
+++ b/crates/node/tests/news.rs
@@ -56,8 +56,8 @@
 fn configured(state: &mut State, version: u64) {
     let command = Command::Configure { base: state.version, body: configuration(version) };
     let events = state.decide(&command).expect("a valid configuration");
-    events.iter().for_each(|event| state.fold(event));
-    state.at.number += 1;
+    events.iter().for_each(|event| state.apply(event));
+    state.position.number += 1;
 }
 
 /// What the primary sends: as the program does, or as a planted mistake whole to every watcher, as it did.
