--- a/crates/node/src/store/absent_owners.rs
+++ b/crates/node/src/store/absent_owners.rs
@@ -29,8 +29,8 @@
         let (available, now) = (self.available_disks(), runtime::now());
         let unresponsive =
             self.replicators.borrow().values().filter(|c| c.is_unresponsive(now)).map(|c| c.disk).collect();
-        let gone = view.stores.iter().filter(|store| store.gone).map(|store| store.disk).collect();
-        let mut absent: BTreeSet<u64> = BTreeSet::union(&unresponsive, &gone).copied().collect();
+        let lost = view.stores.iter().filter(|store| store.declared_lost).map(|store| store.disk).collect();
+        let mut absent: BTreeSet<u64> = BTreeSet::union(&unresponsive, &lost).copied().collect();
         absent.remove(&self.disk);
         let (due_owners, changed) = self.absences.borrow_mut().look(&available, &absent);
         if changed {
@@ -55,8 +55,9 @@
     /// messages.
     fn copy_targets(&self, owner: u64, available: &BTreeSet<u64>) -> BTreeMap<u64, Ids> {
         let view = self.cluster.stores();
-        let is_staying = |disk: &u64| view.get(*disk).is_some_and(|store| !store.gone && !store.retiring);
-        let mut stores: BTreeSet<u64> = available.iter().copied().filter(is_staying).collect();
+        let is_remaining =
+            |disk: &u64| view.get(*disk).is_some_and(|store| !store.declared_lost && !store.retiring);
+        let mut stores: BTreeSet<u64> = available.iter().copied().filter(is_remaining).collect();
         stores.insert(self.disk);
         let is_lost = self.cluster.store(owner).is_none();
         let locations = stores.iter().filter_map(|disk| Some((*disk, view.get(*disk)?.location.clone())));
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -100,7 +100,7 @@
     /// Describes which part of the tolerance the remaining stores can't provide.
     pub fn unmet_tolerance(&self) -> Option<String> {
         let view = self.cluster.stores();
-        let locations: Vec<&Location> = view.staying().map(|store| &store.location).collect();
+        let locations: Vec<&Location> = view.remaining().map(|store| &store.location).collect();
         self.tolerance.unmet(&locations)
     }
 
@@ -122,8 +122,8 @@
             return Placement::anywhere(available, copies);
         }
         let view = self.cluster.stores();
-        let staying = view.staying().filter(|store| available.contains(&store.disk));
-        let locations = staying.map(|store| (store.disk, store.location.clone())).collect();
+        let remaining = view.remaining().filter(|store| available.contains(&store.disk));
+        let locations = remaining.map(|store| (store.disk, store.location.clone())).collect();
         let own = (!self.draining.get()).then(|| self.location.clone());
         Placement::anywhere(available, copies).with_spread(self.tolerance, locations, own)
     }
@@ -162,8 +162,9 @@
     pub fn ready_replicators(&self) -> Vec<Rc<Replicator>> {
         let replicators = self.replicators.borrow();
         let view = self.cluster.stores();
-        let is_staying = |disk: u64| view.get(disk).is_some_and(|store| !store.retiring);
-        let usable = replicators.values().filter(|c| c.is_ready() && !c.is_draining() && is_staying(c.disk));
+        let is_remaining = |disk: u64| view.get(disk).is_some_and(|store| !store.retiring);
+        let usable =
+            replicators.values().filter(|c| c.is_ready() && !c.is_draining() && is_remaining(c.disk));
         let mut ready: Vec<_> = usable.cloned().collect();
         let turn = self.next_turn.get();
         self.next_turn.set(turn + 1);
--- a/crates/node/src/store/relinquish.rs
+++ b/crates/node/src/store/relinquish.rs
@@ -59,7 +59,7 @@
     /// Asks the stores that received a message before this one, or their successors, to relinquish it.
     pub async fn request_relinquish(&self, message: &Message) -> RelinquishResponse {
         let view = self.cluster.stores();
-        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_heir(*disk));
+        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_successor(*disk));
         let others: BTreeSet<u64> = owners.filter(|disk| *disk != self.disk).collect();
         let mut unanswered = Vec::new();
         for disk in others {
@@ -173,7 +173,7 @@
     /// Asks a store or its successor whether it owns a message; none without an answer.
     async fn query_ownership(&self, id: &str, disk: u64) -> Option<bool> {
         let view = self.cluster.stores();
-        let Some(owner) = view.final_heir(disk).filter(|owner| *owner != self.disk) else {
+        let Some(owner) = view.final_successor(disk).filter(|owner| *owner != self.disk) else {
             return Some(false);
         };
         let to = SocketAddr::new(view.get(owner)?.ip, self.port);
--- a/crates/node/src/store/shutdown.rs
+++ b/crates/node/src/store/shutdown.rs
@@ -199,14 +199,14 @@
     async fn hand_back_all(&self, anyway: bool) -> bool {
         let view = self.cluster.stores();
         let mut all_safe = true;
-        for owner in view.stores.iter().filter(|store| store.gone) {
+        for owner in view.stores.iter().filter(|store| store.declared_lost) {
             let messages = custody::messages_of(&self.queue.borrow(), owner.disk);
             let ended = custody::ended_of(&self.queue.borrow(), owner.disk);
             if messages.is_empty() && ended.is_empty() {
                 continue;
             }
             log::info!("handing back {} unfinished and {} finished messages", messages.len(), ended.len());
-            let Some(successor) = view.final_heir(owner.disk).and_then(|successor| view.get(successor))
+            let Some(successor) = view.final_successor(owner.disk).and_then(|successor| view.get(successor))
             else {
                 all_safe = false;
                 continue;
@@ -259,7 +259,7 @@
 
     /// Whether this store is the successor that accepts an owner's messages from a returned store.
     fn can_accept_hand_back(&self, owner: u64) -> bool {
-        let is_successor = self.cluster.stores().final_heir(owner) == Some(self.disk);
+        let is_successor = self.cluster.stores().final_successor(owner) == Some(self.disk);
         is_successor && self.taken_over.borrow().contains(&owner) && !self.draining.get()
     }
 
--- a/crates/node/src/store/view_changes.rs
+++ b/crates/node/src/store/view_changes.rs
@@ -15,7 +15,7 @@
             seen = self.cluster.changes.get();
             let view = self.cluster.stores();
             let own_entry = view.get(self.disk);
-            if let Some(store) = own_entry.filter(|store| store.gone) {
+            if let Some(store) = own_entry.filter(|store| store.declared_lost) {
                 self.on_declared_lost(store.retiring);
                 continue;
             }
@@ -28,7 +28,7 @@
             }
             self.update_replicators(&view);
             self.view_epoch.set(view.epoch);
-            for lost in view.inherited_by(self.disk) {
+            for lost in view.lost_stores_taken_over_by(self.disk) {
                 let is_started =
                     self.taken_over.borrow().contains(&lost) || self.takeovers.borrow().contains_key(&lost);
                 if !is_started {
@@ -71,7 +71,7 @@
     fn update_replicators(self: &Rc<Self>, view: &control::StoreView) {
         let mut replicators = self.replicators.borrow_mut();
         replicators.retain(|disk, replicator| {
-            let store = view.get(*disk).filter(|store| !store.gone);
+            let store = view.get(*disk).filter(|store| !store.declared_lost);
             let is_current = store.is_some_and(|store| replicator.address().ip() == store.ip);
             if !is_current {
                 replicator.close();
