--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -3,8 +3,8 @@
 use control::StoreView;
 use net::meter::Purpose;
 use net::repeat::{Repeat, Repeatable};
-use queue::custody::{Ids, Preserved};
-use queue::{Body, End, Entry, Given, GivenEnded, HeldIds, Message, Outcome};
+use queue::replication::{MessageIds, ReplicaBatch};
+use queue::{Body, Entry, FinalRecord, FinishedTransfer, HeldIds, Message, MessageTransfer, Outcome};
 use settings::Location;
 use std::net::IpAddr;
 
@@ -181,7 +181,7 @@
 pub struct Found {
     pub known: bool,
     pub holder: Holder,
-    pub end: Option<End>,
+    pub end: Option<FinalRecord>,
     /// The body, where it was asked for and is here.
     pub body: Option<Body>,
 }
@@ -214,7 +214,7 @@
 #[derive(Clone, Debug, Default, BorshSerialize, BorshDeserialize)]
 pub struct Piece {
     /// Copies, in the order of their ids.
-    pub given: Vec<Given>,
+    pub given: Vec<MessageTransfer>,
     /// There are more, after the last of these.
     pub more: bool,
 }
@@ -223,7 +223,7 @@
 #[derive(Clone, Debug, Default, BorshSerialize, BorshDeserialize)]
 pub struct EndedPiece {
     /// In the order of the messages' ids.
-    pub given: Vec<GivenEnded>,
+    pub given: Vec<FinishedTransfer>,
     /// There are more, after the last of these.
     pub more: bool,
 }
@@ -231,9 +231,9 @@
 /// Requests to one counter that wait at one store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CountRequest {
-    pub wants: Vec<quota::Want>,
+    pub wants: Vec<quota::TokenRequest>,
     /// Tokens that no message used.
-    pub returns: Vec<quota::Return>,
+    pub returns: Vec<quota::TokenReturn>,
 }
 
 /// A call from one member to another. Most are messages, so a box would only be one more allocation for each.
@@ -254,9 +254,9 @@
     /// Store to store, to the disk `to`: what do you have of this owner's messages, from the first id after one on?
     /// Opens a session: nothing of earlier ones is taken any more. Answered with [`HeldFor`], if the owner is known.
     Held { owner: u64, to: u64, session: u64, after: String },
-    /// Store to store: give me these. Answered with [`Given`], of as many of the first as fit one answer.
+    /// Store to store: give me these. Answered with [`MessageTransfer`], of as many of the first as fit one answer.
     Fetch { ids: Vec<String> },
-    /// Store to store: what became of these? Answered with the [`End`]s that are known.
+    /// Store to store: what became of these? Answered with the [`FinalRecord`]s that are known.
     Ends { ids: Vec<String> },
     /// Store to store: I take over what this lost store owned; keep nothing for it any more. Answered with whether that
     /// is on the disk.
@@ -273,17 +273,17 @@
     /// messages of the receiver are safe without it.
     Leaving { disk: u64 },
     /// Store to store: which of an absent owner's messages do you not hold, and of which don't you know the end?
-    /// Answered with [`Ids`].
-    Lacking { owner: u64, ids: Ids },
+    /// Answered with [`MessageIds`].
+    Lacking { owner: u64, ids: MessageIds },
     /// Store to store: keep these for an owner that is absent. Answered with whether they are on the disk.
-    Preserve { owner: u64, preserved: Preserved },
+    Preserve { owner: u64, preserved: ReplicaBatch },
     /// Store to store: which of these do you own, safe, or know the end of? Answered with ids.
     Decided { ids: Vec<String> },
     /// From a store that was given up to the heir of `owner`: messages that may be nowhere else. Answered with whether
     /// they are safe there.
-    HandBack { owner: u64, given: Vec<Given>, anyway: bool },
+    HandBack { owner: u64, given: Vec<MessageTransfer>, anyway: bool },
     /// The same for messages that have ended and of which something is owed.
-    HandBackEnded { owner: u64, given: Vec<GivenEnded> },
+    HandBackEnded { owner: u64, given: Vec<FinishedTransfer> },
     /// Store to store, from the disk `to`: I have taken this message, leave it to me. Answered with false if it has begun.
     Leave { id: String, to: u64 },
     /// Store to store: do you still own this message? Answered with whether it does.
@@ -291,7 +291,7 @@
     /// Store to store: lend me so many permits of your share of a service's rate. Answered with how many are lent.
     Lend { service: String, permits: u64 },
     /// Store to store that counts for tenants: tokens for messages, and tokens that weren't used. Answered with a
-    /// [`quota::Counted`] for each want, in their order.
+    /// [`quota::TokenResponse`] for each want, in their order.
     Count(CountRequest),
     /// Edge to store: do you answer?
     Ping,
--- a/crates/node/src/edge/handover.rs
+++ b/crates/node/src/edge/handover.rs
@@ -88,7 +88,7 @@
     /// A store didn't write the message anywhere.
     fn refused(&mut self, disk: u64, why: Refusal) {
         self.refusal = why;
-        Rc::make_mut(&mut self.message.envelope).also_at.retain(|other| *other != disk);
+        Rc::make_mut(&mut self.message.envelope).also_sent_to.retain(|other| *other != disk);
     }
 }
 
@@ -106,7 +106,7 @@
                 Some(store) => {
                     put.open += 1;
                     self.ask(&store, &put.message, patience, &race);
-                    Rc::make_mut(&mut put.message.envelope).also_at.push(store.disk);
+                    Rc::make_mut(&mut put.message.envelope).also_sent_to.push(store.disk);
                 }
                 None if put.open == 0 => break,
                 None => {}
@@ -167,7 +167,7 @@
         let suspected = |store: &Store| {
             self.health.is_suspect(SocketAddr::new(store.ip, self.process.settings.store_port()))
         };
-        if let Some(key) = message.envelope.home_key() {
+        if let Some(key) = message.envelope.partition_key() {
             let owner = stores.owner(key.digest()).filter(|store| !store.gone && !suspected(store));
             return owner.into_iter().cloned().collect();
         }
--- a/crates/node/src/store/callbacks.rs
+++ b/crates/node/src/store/callbacks.rs
@@ -103,8 +103,8 @@
         job.refusals += u32::from(status == 400);
         if status == 200 || job.refusals >= MOST_REFUSALS {
             pause = FIRST_PAUSE;
-            store.queue.borrow_mut().called_back(&job.id);
-            let entry = Entry::CalledBack { id: job.id.clone() };
+            store.queue.borrow_mut().mark_callback_done(&job.id);
+            let entry = Entry::CallbackDone { id: job.id.clone() };
             store.log.note(&entry);
             store.tell_copies(&job.id, &entry);
             continue;
--- a/crates/node/src/store/compaction.rs
+++ b/crates/node/src/store/compaction.rs
@@ -1,6 +1,6 @@
 //! Files of the log are given up: what still counts in the oldest one is written anew, at the end.
 use super::Store;
-use queue::{custody, Entry};
+use queue::{replication, Entry};
 
 /// With less of the ring free, its oldest file is written anew.
 const FREE_BELOW: f64 = 0.3;
@@ -28,7 +28,7 @@
         if !id.is_empty() {
             let left = self.not_wanted.borrow().contains_key(id);
             let left = left.then(|| Entry::Dropped { owner: self.disk, id: id.to_string() });
-            return custody::records_of(&queue, id).into_iter().chain(left).collect();
+            return replication::current_entries(&queue, id).into_iter().chain(left).collect();
         }
         let fences = queue.fenced().iter().map(|disk| Entry::Fenced { disk: *disk });
         let taken_over = queue.taken_over().iter().map(|disk| Entry::TakenOver { disk: *disk });
--- a/crates/node/src/store/copier.rs
+++ b/crates/node/src/store/copier.rs
@@ -11,8 +11,8 @@
 use futures_channel::oneshot;
 use net::runtime;
 use net::wake::Notify;
-use queue::custody::{self, Reconciled};
-use queue::{End, Entry, Given, HeldIds};
+use queue::replication::{self, Reconciliation};
+use queue::{Entry, FinalRecord, HeldIds, MessageTransfer};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -192,7 +192,7 @@
         let told: Vec<String> = entries.iter().filter_map(ended_id).collect();
         let kept = self.replicate(store, entries, REPLICATE).await;
         if kept {
-            store.queue.borrow_mut().told(self.disk, &told);
+            store.queue.borrow_mut().mark_notified(self.disk, &told);
         } else {
             self.settled.set(false);
         }
@@ -227,7 +227,7 @@
             taken.extend(piece.taken);
             after = piece.held.last().cloned().unwrap_or_default();
             held.live.extend(piece.held.live);
-            held.ended.extend(piece.held.ended);
+            held.finished.extend(piece.held.finished);
             if !piece.more {
                 return Some((held, taken));
             }
@@ -239,17 +239,17 @@
     async fn reconcile(&self, store: &Rc<Store>) -> bool {
         let Some((held, taken)) = self.ask_held(store).await else { return false };
         store.leave_to_others(taken, LeftBecause::TakenAt(self.disk));
-        let Reconciled { ends, unknown, ended_there } =
-            custody::reconcile(&mut store.queue.borrow_mut(), self.disk, &held);
+        let Reconciliation { missed_entries, unknown, finished_there } =
+            replication::reconcile(&mut store.queue.borrow_mut(), self.disk, &held);
         self.collecting.set(true);
-        for ends in ends.chunks(ENDS_AT_ONCE) {
+        for ends in missed_entries.chunks(ENDS_AT_ONCE) {
             let told: Vec<String> = ends.iter().filter_map(ended_id).collect();
             if !self.replicate(store, ends.to_vec(), RECONCILE).await {
                 return false;
             }
-            store.queue.borrow_mut().told(self.disk, &told);
+            store.queue.borrow_mut().mark_notified(self.disk, &told);
         }
-        if !ended_there.is_empty() && !self.learn_ends(store, ended_there).await {
+        if !finished_there.is_empty() && !self.learn_ends(store, finished_there).await {
             return false;
         }
         // Of a completed message the peer keeps the end alone, and doesn't list it as held.
@@ -269,7 +269,8 @@
     async fn learn_ends(&self, store: &Rc<Store>, ids: Vec<String>) -> bool {
         for ids in ids.chunks(ENDS_AT_ONCE) {
             let call = Call::Ends { ids: ids.to_vec() };
-            let Ok(ends) = store.peers.call::<Call, Vec<End>>(self.address, &call, RECONCILE).await else {
+            let Ok(ends) = store.peers.call::<Call, Vec<FinalRecord>>(self.address, &call, RECONCILE).await
+            else {
                 return false;
             };
             if !ends.is_empty() {
@@ -295,7 +296,7 @@
         while !ids.is_empty() {
             let call = Call::Fetch { ids: ids.clone() };
             let Ok((given, asked)) =
-                store.peers.call::<Call, (Vec<Given>, u64)>(self.address, &call, RECONCILE).await
+                store.peers.call::<Call, (Vec<MessageTransfer>, u64)>(self.address, &call, RECONCILE).await
             else {
                 return false;
             };
@@ -327,7 +328,7 @@
 
 fn ended_id(entry: &Entry) -> Option<String> {
     match entry {
-        Entry::Ended(end) => Some(end.id.clone()),
+        Entry::Finished(end) => Some(end.id.clone()),
         _ => None,
     }
 }
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -3,7 +3,7 @@
 use super::Store;
 use net::runtime;
 use net::wake::Watched;
-use queue::custody;
+use queue::replication;
 use queue::{Entry, Message, Placement};
 use settings::{Distance, Location};
 use std::cell::Cell;
@@ -73,16 +73,16 @@
     pub fn missing_copies(&self, id: &str, placement: &Placement) -> usize {
         let queue = self.queue.borrow();
         let live = queue.owned(id).filter(|owned| owned.is_live());
-        live.map_or(0, |owned| placement.missing(&owned.copies))
+        live.map_or(0, |owned| placement.missing_copies(&owned.confirmed_holders))
     }
 
     /// Disks of other stores that have a message of this one.
     fn copies_of(&self, id: &str) -> BTreeSet<u64> {
-        self.queue.borrow().owned(id).map_or_else(BTreeSet::new, |owned| owned.copies.clone())
+        self.queue.borrow().owned(id).map_or_else(BTreeSet::new, |owned| owned.confirmed_holders.clone())
     }
 
     fn has_copy(&self, id: &str, disk: u64) -> bool {
-        self.queue.borrow().owned(id).is_some_and(|known| known.copies.contains(&disk))
+        self.queue.borrow().owned(id).is_some_and(|known| known.confirmed_holders.contains(&disk))
     }
 
     /// Disks of other stores whose copies count.
@@ -123,7 +123,7 @@
     }
 
     fn copy_to(self: &Rc<Self>, copier: &Rc<Copier>, id: &str, entry: &Entry, answers: &Rc<Answers>) {
-        if !self.queue.borrow_mut().send_copy(id, copier.disk) {
+        if !self.queue.borrow_mut().begin_copy(id, copier.disk) {
             return;
         }
         answers.open.set(answers.open.get() + 1);
@@ -131,7 +131,7 @@
         let (store, id, disk, answers) = (self.clone(), id.to_string(), copier.disk, answers.clone());
         runtime::spawn(async move {
             if copied.await.unwrap_or(false) {
-                store.queue.borrow_mut().copy_kept(&id, disk);
+                store.queue.borrow_mut().confirm_copy(&id, disk);
             }
             answers.open.set(answers.open.get().saturating_sub(1));
             answers.changed.raise();
@@ -165,7 +165,7 @@
 
     async fn copy_again(self: Rc<Self>, id: String, entry: Entry) {
         let copiers = self.copiers.borrow().clone();
-        self.queue.borrow_mut().keep_copies_at(&id, |disk| copiers.contains_key(disk));
+        self.queue.borrow_mut().retain_copies(&id, |disk| copiers.contains_key(disk));
         self.copy_enough(&id, &entry, Store::placement).await;
         self.repairing.borrow_mut().remove(&id);
         self.reservations.look_again();
@@ -183,7 +183,7 @@
         let lacking: Vec<(String, Entry)> = {
             let (queue, mut repairing) = (self.queue.borrow(), self.repairing.borrow_mut());
             let placement = self.placement();
-            let lacking = custody::lacking_copies(&queue, &placement);
+            let lacking = replication::under_replicated(&queue, &placement);
             let lacking = lacking.filter_map(|owned| owned.live_message());
             let lacking = lacking.filter(|message| repairing.insert(message.id().to_string()));
             let entry = |message: &Message| Entry::Message { owner: self.disk, message: message.clone() };
@@ -201,7 +201,7 @@
     /// A message that has not ended is at too few other stores.
     pub fn lacks_live_copies(&self) -> bool {
         let (queue, placement) = (self.queue.borrow(), self.placement());
-        let lacks = custody::lacking_copies(&queue, &placement).next().is_some();
+        let lacks = replication::under_replicated(&queue, &placement).next().is_some();
         lacks
     }
 
--- a/crates/node/src/store/decided.rs
+++ b/crates/node/src/store/decided.rs
@@ -4,7 +4,7 @@
 use crate::calls::Call;
 use net::runtime;
 use net::wake::Watched;
-use queue::{custody, Given};
+use queue::{replication, MessageTransfer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Parted {
     /// Nobody: they may be adopted.
-    pub open: Vec<Given>,
+    pub open: Vec<MessageTransfer>,
     /// This store.
     pub here: Vec<String>,
     /// Another active store.
@@ -50,7 +50,7 @@
 
 impl Store {
     /// Parts messages that this store may come to own by whether any store has decided them.
-    pub async fn part(self: &Rc<Self>, given: Vec<Given>, patience: Patience) -> Parted {
+    pub async fn part(self: &Rc<Self>, given: Vec<MessageTransfer>, patience: Patience) -> Parted {
         let unknown: BTreeSet<String> = self.not_decided_here(&given).into_iter().collect();
         let ids = unknown.iter().cloned().collect();
         let (elsewhere, _) = self.decided_elsewhere(ids, patience).await;
@@ -67,10 +67,10 @@
     }
 
     /// Ids of messages that this store neither owns nor knows to have ended.
-    pub fn not_decided_here(&self, given: &[Given]) -> Vec<String> {
+    pub fn not_decided_here(&self, given: &[MessageTransfer]) -> Vec<String> {
         let ids: Vec<String> = given.iter().map(|given| given.message.id().to_string()).collect();
         let here: BTreeSet<String> =
-            custody::decided(&self.queue.borrow(), ids.clone()).into_iter().collect();
+            replication::accepted_or_finished(&self.queue.borrow(), ids.clone()).into_iter().collect();
         ids.into_iter().filter(|id| !here.contains(id)).collect()
     }
 
--- a/crates/node/src/store/deliver.rs
+++ b/crates/node/src/store/deliver.rs
@@ -7,7 +7,7 @@
 use net::repeat::Repeat;
 use net::runtime;
 use policy::api::Outcome as Told;
-use queue::{End, Entry, Envelope, Outcome};
+use queue::{Entry, Envelope, FinalRecord, Outcome};
 use settings::{Configuration, Route};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -135,18 +135,18 @@
         }
         let configuration = self.known.configuration();
         let there = |envelope: &Envelope| {
-            envelope.version > version || configuration.named(&envelope.route).is_some()
+            envelope.config_version > version || configuration.named(&envelope.route).is_some()
         };
-        let over = self.queue.borrow().over(now, there);
+        let over = self.queue.borrow().expired_or_unroutable(now, there);
         for id in over {
             log::info!("{id} ends: its route or its time is over");
-            self.finish(End { id, outcome: Outcome::DeadLetter, at: now });
+            self.finish(FinalRecord { id, outcome: Outcome::DeadLetter, at: now });
         }
         // The end may be by the clock of another store.
         let bounds = &self.settings.bounds;
         let told_for = bounds.status_ttl_s.max(bounds.key_window_s);
         let keep = (told_for * 1_000.0) as u64 + bounds.max_skew_ms;
-        self.queue.borrow_mut().forget(now.saturating_sub(keep));
+        self.queue.borrow_mut().discard_finished(now.saturating_sub(keep));
     }
 
     /// Starts all that may run; tells when to look again.
@@ -169,7 +169,7 @@
 
     /// Nothing runs before this store knows that it still owns what it recovered, and nothing whose time is over.
     fn may_run(&self, envelope: &Envelope, now: u64) -> bool {
-        let is_bound = envelope.home_key().is_some();
+        let is_bound = envelope.partition_key().is_some();
         let key_may = !is_bound || self.key_may_run(envelope);
         let is_elsewhere = (self.leaving.get() && !is_bound) || self.is_asked_for(&envelope.id);
         let is_here = !is_elsewhere && self.clock.ms() >= self.recovered_until.get();
@@ -239,7 +239,7 @@
 
     fn conclude(self: &Rc<Self>, id: &str, verdict: Verdict, most: u32) {
         let now = wall_ms();
-        let end = |outcome| End { id: id.to_string(), outcome, at: now };
+        let end = |outcome| FinalRecord { id: id.to_string(), outcome, at: now };
         let failed = self.queue.borrow().owned(id).map_or(0, |known| known.attempts);
         match verdict {
             Verdict::Done(signature) => self.finish(end(Outcome::Completed { signature })),
@@ -249,7 +249,7 @@
                 let attempts = failed + 1;
                 let pause = (FAILED_PAUSE << attempts.min(8)).min(LONGEST_FAILED_PAUSE);
                 self.queue.borrow_mut().retry(id, attempts, now + pause);
-                let entry = Entry::Failed { id: id.to_string(), attempts };
+                let entry = Entry::AttemptFailed { id: id.to_string(), attempts };
                 self.log.note(&entry);
                 self.tell_copies(id, &entry);
             }
--- a/crates/node/src/store/ended.rs
+++ b/crates/node/src/store/ended.rs
@@ -5,8 +5,8 @@
 use super::Store;
 use futures_channel::oneshot;
 use net::runtime;
-use queue::custody;
-use queue::{Entry, GivenEnded};
+use queue::replication;
+use queue::{Entry, FinishedTransfer};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     /// Something is owed of a message that has ended, and too few other stores hold it.
     pub fn lacks_ended_copies(&self) -> bool {
         let (queue, placement) = (self.queue.borrow(), self.placement());
-        let lacks = custody::lacking_ended(&queue, &placement).next().is_some();
+        let lacks = replication::under_replicated_finished(&queue, &placement).next().is_some();
         lacks
     }
 
@@ -50,10 +50,10 @@
     async fn copy_ended_batch(self: &Rc<Self>) -> bool {
         let mut sent = Vec::new();
         for (given, copiers) in self.ended_batch() {
-            let id = given.ended.id().to_string();
+            let id = given.finished.id().to_string();
             for copier in copiers {
-                if self.queue.borrow_mut().send_ended(&id, copier.disk) {
-                    let entry = Entry::EndedMessage { owner: self.disk, given: given.clone() };
+                if self.queue.borrow_mut().begin_finished_copy(&id, copier.disk) {
+                    let entry = Entry::FinishedMessage { owner: self.disk, transfer: given.clone() };
                     sent.push(Sent { id: id.clone(), disk: copier.disk, kept: copier.copy(entry) });
                 }
             }
@@ -61,7 +61,7 @@
         let mut any = false;
         for Sent { id, disk, kept } in sent {
             if kept.await.unwrap_or(false) {
-                self.queue.borrow_mut().copy_kept(&id, disk);
+                self.queue.borrow_mut().confirm_copy(&id, disk);
                 any = true;
             }
         }
@@ -70,18 +70,22 @@
     }
 
     /// Messages that lack copies, as many as one batch takes, and to which stores each may go.
-    fn ended_batch(&self) -> Vec<(GivenEnded, Vec<Rc<Copier>>)> {
+    fn ended_batch(&self) -> Vec<(FinishedTransfer, Vec<Rc<Copier>>)> {
         let placement = self.placement();
         let copiers = self.settled_copiers();
         let queue = self.queue.borrow();
         let (mut batch, mut bytes) = (Vec::new(), 0);
-        for owned in custody::lacking_ended(&queue, &placement).take(MOST_AT_ONCE) {
-            let missing = placement.missing(&owned.copies);
-            let others = copiers.iter().filter(|copier| !owned.copies.contains(&copier.disk));
-            let to =
-                placement.choose(others.cloned().collect(), |c: &Rc<Copier>| c.disk, &owned.copies, missing);
+        for owned in replication::under_replicated_finished(&queue, &placement).take(MOST_AT_ONCE) {
+            let missing = placement.missing_copies(&owned.confirmed_holders);
+            let others = copiers.iter().filter(|copier| !owned.confirmed_holders.contains(&copier.disk));
+            let to = placement.choose(
+                others.cloned().collect(),
+                |c: &Rc<Copier>| c.disk,
+                &owned.confirmed_holders,
+                missing,
+            );
             bytes += owned.body_bytes() * to.len();
-            batch.extend(custody::given_ended(owned).map(|given| (given, to)));
+            batch.extend(replication::finished_transfer(owned).map(|given| (given, to)));
             if bytes >= PIECE_BYTES {
                 break;
             }
--- a/crates/node/src/store/intake.rs
+++ b/crates/node/src/store/intake.rs
@@ -29,7 +29,7 @@
         if self.paused.get() {
             return Some(Refusal::Stopping);
         }
-        let key = envelope.home_key()?;
+        let key = envelope.partition_key()?;
         let owner = self.known.stores().owner(key.digest()).map(|store| store.disk);
         let decides = owner == Some(self.disk) && self.knows_operations();
         (!decides).then_some(Refusal::NotOwner)
@@ -37,7 +37,7 @@
 
     /// Why a message isn't taken that could be.
     pub(super) fn refusal_to_take(&self, envelope: &Envelope) -> Option<Refusal> {
-        if self.leaving.get() && envelope.home_key().is_none() {
+        if self.leaving.get() && envelope.partition_key().is_none() {
             return Some(Refusal::Stopping);
         }
         if self.has_left(&envelope.id) {
@@ -52,7 +52,7 @@
 
     fn is_memory_full(&self) -> bool {
         let most = (self.settings.limits.memory_mb as f64 * MEMORY_SHARE * 1_048_576.0) as usize;
-        self.queue.borrow().bytes() > most
+        self.queue.borrow().body_bytes() > most
     }
 
     fn next_order(&self) -> u64 {
@@ -92,7 +92,7 @@
     /// Takes a message: it is taken once it is on this disk and on as many others as may be lost.
     pub(super) async fn take(self: &Rc<Self>, mut message: Message) -> PutAnswer {
         let id = message.id().to_string();
-        Rc::make_mut(&mut message.envelope).order = self.next_order();
+        Rc::make_mut(&mut message.envelope).sequence = self.next_order();
         let entry = Entry::Message { owner: self.disk, message: message.clone() };
         if !self.queue.borrow_mut().add(message.clone()) {
             return PutAnswer::Unclear;
@@ -131,7 +131,7 @@
     pub async fn accept(self: Rc<Self>, message: Message) {
         match self.ask_to_leave(&message).await {
             Asked::Left { silent } => {
-                self.queue.borrow_mut().accept(message.id());
+                self.queue.borrow_mut().mark_replicated(message.id());
                 silent.into_iter().for_each(|disk| self.require_comparison(disk));
                 // What was recovered or adopted may have fewer copies than it should.
                 if self.missing_copies(message.id(), &self.placement()) > 0 {
--- a/crates/node/src/store/leaving.rs
+++ b/crates/node/src/store/leaving.rs
@@ -7,7 +7,7 @@
 use crate::watch::HOLD;
 use net::rpc::RpcError;
 use net::runtime;
-use queue::{custody, Given, GivenEnded, Stage};
+use queue::{replication, FinishedTransfer, MessageTransfer, Stage};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     fn log_untold(&self) {
         let (queue, present) = (self.queue.borrow(), self.present());
         for owned in queue.all_owned() {
-            let disks = owned.untold.intersection(&present).map(|disk| format!("{disk:016x}"));
+            let disks = owned.unnotified.intersection(&present).map(|disk| format!("{disk:016x}"));
             let disks: Vec<String> = disks.collect();
             if !disks.is_empty() {
                 log::warn!("{}: its end isn't told to disks {}", owned.id(), disks.join(", "));
@@ -149,7 +149,7 @@
     fn all_told(&self) -> bool {
         let (present, copiers) = (self.present(), self.copiers.borrow());
         let queue = self.queue.borrow();
-        let all = queue.all_owned().all(|owned| owned.untold.is_disjoint(&present));
+        let all = queue.all_owned().all(|owned| owned.unnotified.is_disjoint(&present));
         all && present.iter().all(|disk| copiers.get(disk).is_some_and(|copier| copier.is_idle()))
     }
 
@@ -157,7 +157,7 @@
     fn bound_running(&self) -> usize {
         let queue = self.queue.borrow();
         let runs = queue.all_owned().filter(|owned| owned.stage() == Some(Stage::Running));
-        runs.filter(|owned| owned.envelope().home_key().is_some()).count()
+        runs.filter(|owned| owned.envelope().partition_key().is_some()).count()
     }
 
     /// Others have taken over from this disk while it was away. What it holds may be nowhere else, if other disks were
@@ -181,8 +181,8 @@
         let view = self.known.stores();
         let mut all = true;
         for owner in view.stores.iter().filter(|store| store.gone) {
-            let messages = custody::messages_of(&self.queue.borrow(), owner.disk);
-            let ended = custody::ended_of(&self.queue.borrow(), owner.disk);
+            let messages = replication::live_transfers(&self.queue.borrow(), owner.disk);
+            let ended = replication::finished_transfers(&self.queue.borrow(), owner.disk);
             if messages.is_empty() && ended.is_empty() {
                 continue;
             }
@@ -201,7 +201,7 @@
         &self,
         heir: &control::Store,
         owner: u64,
-        messages: Vec<Given>,
+        messages: Vec<MessageTransfer>,
         anyway: bool,
     ) -> Result<bool, RpcError> {
         let to = SocketAddr::new(heir.ip, self.port);
@@ -221,7 +221,7 @@
         &self,
         heir: &control::Store,
         owner: u64,
-        messages: Vec<GivenEnded>,
+        messages: Vec<FinishedTransfer>,
     ) -> Result<bool, RpcError> {
         let to = SocketAddr::new(heir.ip, self.port);
         let mut left = &messages[..];
@@ -243,7 +243,7 @@
     }
 
     /// Takes messages that have ended and that a store which was given up had. True once they are safe.
-    pub(super) async fn take_back_ended(self: &Rc<Self>, owner: u64, given: Vec<GivenEnded>) -> bool {
+    pub(super) async fn take_back_ended(self: &Rc<Self>, owner: u64, given: Vec<FinishedTransfer>) -> bool {
         if !self.takes_back(owner) {
             return false;
         }
@@ -257,7 +257,12 @@
 
     /// Takes messages that a store which was given up had, unless they are decided: owned by a store that is there, or
     /// ended. True once they are safe. A store that doesn't answer is waited for, unless they are to be taken `anyway`.
-    pub(super) async fn take_back(self: &Rc<Self>, owner: u64, mut given: Vec<Given>, anyway: bool) -> bool {
+    pub(super) async fn take_back(
+        self: &Rc<Self>,
+        owner: u64,
+        mut given: Vec<MessageTransfer>,
+        anyway: bool,
+    ) -> bool {
         if !self.takes_back(owner) {
             return false;
         }
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -124,7 +124,7 @@
     /// Messages that have ended are being copied again.
     copying_ended: Cell<bool>,
     /// Who is away, and whose copies are made whole because of it.
-    pub absences: RefCell<queue::custody::Absences>,
+    pub absences: RefCell<queue::replication::AbsenceTracker>,
     /// The epoch of the stores' view by which this store acts.
     epoch: Cell<u64>,
     /// It is to be taken away; it does nothing any more that others don't know of.
@@ -158,7 +158,7 @@
     let folder = process.settings.data_dir.clone().context("DataDir is missing; give the store a disk")?;
     let mut queue = Queue::default();
     let shape = log::shape(process.settings.limits.disk_mb);
-    let log = log::Log::open(Path::new(&folder), shape, &mut |entry| queue.recover(entry))?;
+    let log = log::Log::open(Path::new(&folder), shape, &mut |entry| queue.replay(entry))?;
     let surroundings = Surroundings {
         peers: Peers::default(),
         endpoints: Client::counted_as("deliveries"),
@@ -200,16 +200,16 @@
                 log.write(&[Entry::Disk(disk)]).await,
                 "the disk can't be written; check its space and health"
             );
-            queue.recover(Entry::Disk(disk));
+            queue.replay(Entry::Disk(disk));
         }
         // Whose messages the others are is known by it: it is read first.
         log.begin_files_with(&Entry::Disk(queue.disk()));
-        let superseded = queue.settle_operations();
-        let raced = queue.recovered();
+        let superseded = queue.relinquish_duplicates();
+        let raced = queue.finish_recovery();
         let live = queue.all_owned().filter(|owned| owned.is_live());
         let recovered = live.map(|owned| owned.id().to_string()).collect();
         let started = process.clock.ms();
-        let left = queue.take_left().into_iter().map(|id| (id, started)).collect();
+        let left = queue.take_relinquished().into_iter().map(|id| (id, started)).collect();
         let taken_over = queue.taken_over().clone();
         let settings = process.settings.clone();
         let store = Rc::new(Store {
@@ -221,7 +221,7 @@
             known: Known::new(settings.seed_ips()),
             peers: Rc::new(surroundings.peers),
             log,
-            last_order: Cell::new(queue.highest_order() + ORDERS_NOT_SYNCED),
+            last_order: Cell::new(queue.highest_sequence() + ORDERS_NOT_SYNCED),
             queue: RefCell::new(queue),
             recovered: RefCell::new(recovered),
             raced: RefCell::new(raced),
@@ -259,9 +259,9 @@
             settings,
         });
         store.record_superseded(superseded);
-        let queue::Counts { waiting, ended, replicas, .. } = store.queue.borrow().counts();
+        let queue::Counts { waiting, finished, replicas, .. } = store.queue.borrow().counts();
         ::log::info!(
-            "disk {:016x}: {waiting} messages waiting, {ended} ended, {replicas} copies",
+            "disk {:016x}: {waiting} messages waiting, {finished} ended, {replicas} copies",
             store.disk
         );
         Ok(store)
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -6,8 +6,8 @@
 use crate::calls::{PutAnswer, Refusal};
 use net::runtime;
 use net::wake::Watched;
-use queue::rivals::{self, Settled};
-use queue::{Entry, Envelope, Given, GivenEnded, Message, OwnedMessage, Stage, TenantKey};
+use queue::duplicates::{self, Resolution};
+use queue::{Entry, Envelope, FinishedTransfer, Message, MessageTransfer, OwnedMessage, Stage, TenantKey};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -153,7 +153,7 @@
             return Some(PutAnswer::Refused(refusal));
         }
         // A holder may have given back one that this store's disk has lost.
-        if self.queue.borrow().of_operation(operation).is_some() {
+        if self.queue.borrow().message_of_operation(operation).is_some() {
             return None;
         }
         let answer = self.take(message.clone()).await;
@@ -168,7 +168,7 @@
             return Known::OnItsWay;
         }
         let queue = self.queue.borrow();
-        match queue.of_operation(operation) {
+        match queue.message_of_operation(operation) {
             None => Known::Unknown,
             Some(owned) if self.is_safe(owned) => Known::Safe(owned.id().to_string()),
             Some(_) => Known::OnItsWay,
@@ -177,8 +177,8 @@
 
     /// A message, live or ended, is on as many disks as it has to be before it is acknowledged.
     fn is_safe(&self, owned: &OwnedMessage) -> bool {
-        let is_written = owned.stage() != Some(Stage::Copying);
-        is_written && self.placement_to_take().missing(&owned.copies) == 0
+        let is_written = owned.stage() != Some(Stage::Replicating);
+        is_written && self.placement_to_take().missing_copies(&owned.confirmed_holders) == 0
     }
 
     /// All that lost stores had, live or ended, has been told by those that kept it, and since the start all holders that
@@ -198,19 +198,20 @@
     }
 
     /// Leaves out messages whose operations have another one that stays, and leaves own ones that one of these supersedes.
-    pub(super) fn settle_operations(&self, given: Vec<Given>) -> Vec<Given> {
-        let Settled { open, superseded, displaced } = rivals::settle(&self.queue.borrow(), given);
+    pub(super) fn settle_operations(&self, given: Vec<MessageTransfer>) -> Vec<MessageTransfer> {
+        let Resolution { to_adopt, superseded, displaced } =
+            duplicates::resolve_duplicates(&self.queue.borrow(), given);
         self.reservations.count(|counts| counts.superseded += displaced.len());
         self.leave_to_others(displaced, LeftBecause::Superseded);
         self.record_superseded(superseded);
-        open
+        to_adopt
     }
 
     /// A message that has ended is to be owned here: one of the same operation that hasn't begun goes.
-    pub(super) fn leave_rivals_of(&self, given: &[GivenEnded]) {
+    pub(super) fn leave_rivals_of(&self, given: &[FinishedTransfer]) {
         let rivals: Vec<String> = {
             let queue = self.queue.borrow();
-            let rivals = given.iter().filter_map(|given| queue.rival(given.ended.envelope()));
+            let rivals = given.iter().filter_map(|given| queue.duplicate_of(given.finished.envelope()));
             rivals.filter(|rival| rival.is_live()).map(|rival| rival.id().to_string()).collect()
         };
         self.reservations.count(|counts| counts.superseded += rivals.len());
--- a/crates/node/src/store/peers.rs
+++ b/crates/node/src/store/peers.rs
@@ -3,8 +3,8 @@
 use crate::calls::{Call, EndedPiece, Found, HeldFor, Holder, Piece};
 use crate::process;
 use crate::traffic;
-use queue::custody;
-use queue::{End, Entry, Given, GivenEnded, Queue};
+use queue::replication;
+use queue::{Entry, FinalRecord, FinishedTransfer, MessageTransfer, Queue};
 use std::net::IpAddr;
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
 fn holder(queue: &Queue, id: &str) -> Holder {
     let owned = queue.owned(id).map(|owned| owned.envelope().clone());
     let live = || queue.message(id).map(|message| message.envelope.clone());
-    let ended = || queue.ended_replica(id).map(|(_, given)| given.ended.envelope().clone());
+    let ended = || queue.finished_replica(id).map(|(_, given)| given.finished.envelope().clone());
     match owned.or_else(live).or_else(ended).map(|envelope| envelope.tenant.clone()) {
         Some(Some(tenant)) => Holder::Tenant(tenant),
         Some(None) => Holder::Nobody,
@@ -42,14 +42,14 @@
 }
 
 /// Messages that have not ended, as many as fit one answer.
-pub fn live_piece(messages: impl Iterator<Item = Given>) -> Piece {
+pub fn live_piece(messages: impl Iterator<Item = MessageTransfer>) -> Piece {
     let (given, more) = piece(messages, |given| given.message.body.len());
     Piece { given, more }
 }
 
 /// Messages that have ended, as many as fit one answer.
-pub fn ended_piece(messages: impl Iterator<Item = GivenEnded>) -> EndedPiece {
-    let (given, more) = piece(messages, |given| given.ended.body_bytes());
+pub fn ended_piece(messages: impl Iterator<Item = FinishedTransfer>) -> EndedPiece {
+    let (given, more) = piece(messages, |given| given.finished.body_bytes());
     EndedPiece { given, more }
 }
 
@@ -70,9 +70,11 @@
             Call::InheritEnded { lost, after } => encode(&self.inherit_ended(lost, &after)),
             Call::Claimed { lost } => encode(&self.claimed(lost)),
             Call::Leaving { disk } => encode(&self.peer_leaves(disk)),
-            Call::Lacking { owner, ids } => encode(&custody::lacking_of(&self.queue.borrow(), owner, &ids)),
+            Call::Lacking { owner, ids } => {
+                encode(&replication::missing_ids(&self.queue.borrow(), owner, &ids))
+            }
             Call::Preserve { owner, preserved } => encode(&self.preserve_for(owner, preserved).await),
-            Call::Decided { ids } => encode(&custody::decided(&self.queue.borrow(), ids)),
+            Call::Decided { ids } => encode(&replication::accepted_or_finished(&self.queue.borrow(), ids)),
             Call::HandBack { owner, given, anyway } => encode(&self.take_back(owner, given, anyway).await),
             Call::HandBackEnded { owner, given } => encode(&self.take_back_ended(owner, given).await),
             Call::Leave { id, to } => encode(&self.leave_one(&id, to)),
@@ -94,7 +96,7 @@
     /// Keeps what another store says of its messages; false if that isn't a store any more, or has first to hear what
     /// is kept here for it. A store that is about to stop keeps no more messages, but ends of those that it has.
     async fn keep(self: &Rc<Self>, owner: u64, session: u64, entries: Vec<Entry>) -> bool {
-        self.absences.borrow_mut().heard(owner, self.clock.ms());
+        self.absences.borrow_mut().record_call(owner, self.clock.ms());
         if self.is_refused(owner) || self.absences.borrow().must_reconcile(owner) {
             return false;
         }
@@ -106,7 +108,8 @@
             return false;
         }
         let entries = self.finish_own(entries);
-        let (kept, must_last) = custody::keep(&mut self.queue.borrow_mut(), owner, entries);
+        let (kept, must_last) =
+            replication::apply_owner_entries(&mut self.queue.borrow_mut(), owner, entries);
         if must_last {
             return self.log.write(&kept).await;
         }
@@ -121,10 +124,10 @@
         for entry in entries {
             let owned = entry.id().is_some_and(|id| self.queue.borrow().owned(id).is_some());
             match entry {
-                Entry::Ended(end) if owned => self.finish(end),
-                Entry::EndedMessage { owner, given } if owned => {
-                    self.finish(given.ended.end());
-                    others.push(Entry::EndedMessage { owner, given });
+                Entry::Finished(end) if owned => self.finish(end),
+                Entry::FinishedMessage { owner, transfer } if owned => {
+                    self.finish(transfer.finished.final_record());
+                    others.push(Entry::FinishedMessage { owner, transfer });
                 }
                 other => others.push(other),
             }
@@ -144,21 +147,21 @@
             return None;
         }
         let mut absences = self.absences.borrow_mut();
-        absences.heard(owner, self.clock.ms());
+        absences.record_call(owner, self.clock.ms());
         let queue = self.queue.borrow();
-        let (held, more) = queue.held_for(owner).after(after, IDS_AT_ONCE);
+        let (held, more) = queue.held_for(owner).page_after(after, IDS_AT_ONCE);
         if !more {
-            absences.reconciled(owner);
+            absences.mark_reconciled(owner);
         }
         let taken = if after.is_empty() { self.promise_taken(owner) } else { Vec::new() };
         Some(HeldFor { held, more, taken, leaving: self.leaving.get() })
     }
 
     /// Copies by their ids, as many of the first as fit, and how many ids that answers.
-    pub(super) fn fetch(&self, ids: &[String]) -> (Vec<Given>, u64) {
+    pub(super) fn fetch(&self, ids: &[String]) -> (Vec<MessageTransfer>, u64) {
         let queue = self.queue.borrow();
         let Piece { given, more } =
-            live_piece(ids.iter().filter_map(|id| queue.replica(id)).map(Given::from));
+            live_piece(ids.iter().filter_map(|id| queue.replica(id)).map(MessageTransfer::from));
         let last = given.last().map(|given| given.message.id());
         let asked = match more {
             true => ids.iter().position(|id| Some(id.as_str()) == last).map_or(ids.len(), |at| at + 1),
@@ -181,13 +184,16 @@
     /// A piece of the copies that are kept of a lost store, once nothing more comes from it.
     pub(super) fn inherit(&self, lost: u64, after: &str) -> Option<Piece> {
         let queue = self.queue.borrow();
-        queue.fenced().contains(&lost).then(|| live_piece(queue.replicas_after(lost, after).map(Given::from)))
+        queue
+            .fenced()
+            .contains(&lost)
+            .then(|| live_piece(queue.replicas_after(lost, after).map(MessageTransfer::from)))
     }
 
     /// A piece of what is kept of a lost store's messages that have ended, once nothing more comes from it.
     pub(super) fn inherit_ended(&self, lost: u64, after: &str) -> Option<EndedPiece> {
         let queue = self.queue.borrow();
-        queue.fenced().contains(&lost).then(|| ended_piece(queue.ended_after(lost, after)))
+        queue.fenced().contains(&lost).then(|| ended_piece(queue.finished_after(lost, after)))
     }
 
     fn claimed(&self, lost: u64) -> bool {
@@ -196,10 +202,10 @@
         }
         let mut queue = self.queue.borrow_mut();
         let live = queue.replicas_of(lost).map(|replica| replica.message.id().to_string());
-        let ended = queue.ended_after(lost, "").map(|given| given.ended.id().to_string());
+        let ended = queue.finished_after(lost, "").map(|given| given.finished.id().to_string());
         let ids: Vec<String> = live.chain(ended).collect();
         for id in ids {
-            queue.drop_replica_of(lost, &id);
+            queue.drop_replica(lost, &id);
             self.log.note(&Entry::Dropped { owner: lost, id });
         }
         true
@@ -210,22 +216,22 @@
         let message = queue.message(id);
         let body = message.filter(|_| body).and_then(|message| self.sound_body(message));
         let known = queue.owned(id).is_some() || message.is_some();
-        Found { known, holder: holder(&queue, id), end: queue.end_of(id), body }
+        Found { known, holder: holder(&queue, id), end: queue.final_record_of(id), body }
     }
 
     /// Those of some messages' ends that are known here.
-    pub(super) fn ends(&self, ids: &[String]) -> Vec<End> {
+    pub(super) fn ends(&self, ids: &[String]) -> Vec<FinalRecord> {
         let queue = self.queue.borrow();
-        ids.iter().filter_map(|id| queue.end_of(id)).collect()
+        ids.iter().filter_map(|id| queue.final_record_of(id)).collect()
     }
 
     fn status(&self) -> String {
-        let queue::Counts { waiting, running, ended, replicas } = self.queue.borrow().counts();
-        let oldest = self.queue.borrow().oldest().map(|at| process::wall_ms().saturating_sub(at));
+        let queue::Counts { waiting, running, finished, replicas } = self.queue.borrow().counts();
+        let oldest = self.queue.borrow().oldest_received_at().map(|at| process::wall_ms().saturating_sub(at));
         let status = serde_json::json!({
             "node": self.settings.node_name, "disk": format!("{:016x}", self.disk),
             "version": self.known.version(), "stores": self.known.stores().epoch,
-            "waiting": waiting, "running": running, "ended": ended, "copies": replicas,
+            "waiting": waiting, "running": running, "ended": finished, "copies": replicas,
             "oldest_ms": oldest, "backlog": self.backlog(), "free_ring": self.log.free_share(),
             "taking_over": self.inheriting.borrow().len(),
             "operations": self.reservations.counts().as_json(),
--- a/crates/node/src/store/preserve.rs
+++ b/crates/node/src/store/preserve.rs
@@ -9,8 +9,8 @@
 use super::Store;
 use crate::calls::Call;
 use net::runtime;
-use queue::custody::{self, Ids, Preserved};
-use queue::{GivenEnded, Placement};
+use queue::replication::{self, MessageIds, ReplicaBatch};
+use queue::{FinishedTransfer, Placement};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
         let gone = view.stores.iter().filter(|store| store.gone).map(|store| store.disk).collect();
         let mut absent: BTreeSet<u64> = BTreeSet::union(&silent, &gone).copied().collect();
         absent.remove(&self.disk);
-        let (due, changed) = self.absences.borrow_mut().look(&present, &absent);
+        let (due, changed) = self.absences.borrow_mut().update_presence(&present, &absent);
         if changed {
             self.needs_repair.set(true);
         }
@@ -46,11 +46,11 @@
             let to = SocketAddr::new(target.ip, self.port);
             all &= self.preserve_at(to, owner, ids).await.is_some();
         }
-        self.absences.borrow_mut().done(owner, present, all);
+        self.absences.borrow_mut().replication_finished(owner, present, all);
     }
 
     /// Which messages of an owner other stores should hold, as far as they are known here.
-    fn targets(&self, owner: u64, present: &BTreeSet<u64>) -> BTreeMap<u64, Ids> {
+    fn targets(&self, owner: u64, present: &BTreeSet<u64>) -> BTreeMap<u64, MessageIds> {
         let view = self.known.stores();
         let stays = |disk: &u64| view.get(*disk).is_some_and(|store| !store.gone && !store.retiring);
         let mut stores: BTreeSet<u64> = present.iter().copied().filter(stays).collect();
@@ -63,60 +63,61 @@
             true => placement.with_spread(self.tolerance, locations, None),
             false => placement,
         };
-        custody::targets(&self.queue.borrow(), owner, given_up, &placement)
+        replication::replication_targets(&self.queue.borrow(), owner, given_up, &placement)
     }
 
     /// Sends another store what it lacks; nothing if that failed.
-    async fn preserve_at(&self, to: SocketAddr, owner: u64, ids: Ids) -> Option<()> {
+    async fn preserve_at(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<()> {
         for live in ids.live.chunks(IDS_AT_ONCE) {
-            let asked = Ids { live: live.to_vec(), ..Ids::default() };
+            let asked = MessageIds { live: live.to_vec(), ..MessageIds::default() };
             let lacking = self.ask_lacking(to, owner, asked).await?.live;
             let mut left = &lacking[..];
             while !left.is_empty() {
                 let (live, settled) = self.fetch(left);
                 left = &left[(settled as usize).clamp(1, left.len())..];
-                self.send_preserved(to, owner, Preserved { live, ..Preserved::default() }).await?;
+                self.send_preserved(to, owner, ReplicaBatch { live, ..ReplicaBatch::default() }).await?;
             }
         }
-        for ended in ids.ended.chunks(IDS_AT_ONCE) {
-            let asked = Ids { ended: ended.to_vec(), ..Ids::default() };
-            let mut lacking = self.ask_lacking(to, owner, asked).await?.ended.into_iter();
+        for finished in ids.finished.chunks(IDS_AT_ONCE) {
+            let asked = MessageIds { finished: finished.to_vec(), ..MessageIds::default() };
+            let mut lacking = self.ask_lacking(to, owner, asked).await?.finished.into_iter();
             while lacking.len() > 0 {
-                let ended = self.ended_by(&mut lacking);
-                self.send_preserved(to, owner, Preserved { ended, ..Preserved::default() }).await?;
+                let finished = self.ended_by(&mut lacking);
+                self.send_preserved(to, owner, ReplicaBatch { finished, ..ReplicaBatch::default() }).await?;
             }
         }
-        for ends in ids.ends.chunks(IDS_AT_ONCE) {
-            let asked = Ids { ends: ends.to_vec(), ..Ids::default() };
-            let lacking = self.ask_lacking(to, owner, asked).await?.ends;
+        for final_records in ids.final_records.chunks(IDS_AT_ONCE) {
+            let asked = MessageIds { final_records: final_records.to_vec(), ..MessageIds::default() };
+            let lacking = self.ask_lacking(to, owner, asked).await?.final_records;
             for ids in lacking.chunks(ENDS_AT_ONCE) {
-                let ends = self.ends(ids);
-                self.send_preserved(to, owner, Preserved { ends, ..Preserved::default() }).await?;
+                let final_records = self.ends(ids);
+                self.send_preserved(to, owner, ReplicaBatch { final_records, ..ReplicaBatch::default() })
+                    .await?;
             }
         }
         Some(())
     }
 
     /// The first of some messages that have ended, as many as fit one call.
-    fn ended_by(&self, ids: &mut std::vec::IntoIter<String>) -> Vec<GivenEnded> {
+    fn ended_by(&self, ids: &mut std::vec::IntoIter<String>) -> Vec<FinishedTransfer> {
         let queue = self.queue.borrow();
-        let (mut ended, mut bytes) = (Vec::new(), 0);
+        let (mut finished, mut bytes) = (Vec::new(), 0);
         for id in ids.by_ref() {
-            let Some((_, given)) = queue.ended_replica(&id) else { continue };
-            bytes += given.ended.body_bytes();
-            ended.push(given);
-            if bytes >= PIECE_BYTES || ended.len() >= ENDS_AT_ONCE {
+            let Some((_, given)) = queue.finished_replica(&id) else { continue };
+            bytes += given.finished.body_bytes();
+            finished.push(given);
+            if bytes >= PIECE_BYTES || finished.len() >= ENDS_AT_ONCE {
                 break;
             }
         }
-        ended
+        finished
     }
 
-    async fn ask_lacking(&self, to: SocketAddr, owner: u64, ids: Ids) -> Option<Ids> {
-        self.peers.call::<Call, Ids>(to, &Call::Lacking { owner, ids }, PRESERVE).await.ok()
+    async fn ask_lacking(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<MessageIds> {
+        self.peers.call::<Call, MessageIds>(to, &Call::Lacking { owner, ids }, PRESERVE).await.ok()
     }
 
-    async fn send_preserved(&self, to: SocketAddr, owner: u64, preserved: Preserved) -> Option<()> {
+    async fn send_preserved(&self, to: SocketAddr, owner: u64, preserved: ReplicaBatch) -> Option<()> {
         if preserved.is_empty() {
             return Some(());
         }
@@ -128,22 +129,22 @@
     /// Whether an owner is away for this store too.
     fn is_absent(&self, owner: u64) -> bool {
         let silent = self.copiers.borrow().get(&owner).is_some_and(|copier| copier.is_silent(runtime::now()));
-        silent && self.absences.borrow().is_silent(owner, AWAY.as_millis() as u64, self.clock.ms())
+        silent && self.absences.borrow().is_absent(owner, AWAY.as_millis() as u64, self.clock.ms())
     }
 
     /// Keeps messages and ends for an owner that is away. Messages are refused where the owner isn't away, or was given
     /// up: it, or its heir, sees to them then.
-    pub(super) async fn preserve_for(&self, owner: u64, preserved: Preserved) -> bool {
+    pub(super) async fn preserve_for(&self, owner: u64, preserved: ReplicaBatch) -> bool {
         if self.paused.get() || self.leaving.get() {
             return false;
         }
-        let has_messages = !preserved.live.is_empty() || !preserved.ended.is_empty();
+        let has_messages = !preserved.live.is_empty() || !preserved.finished.is_empty();
         if has_messages && (self.is_refused(owner) || !self.is_absent(owner)) {
             return false;
         }
         let entries = {
             let (mut queue, mut absences) = (self.queue.borrow_mut(), self.absences.borrow_mut());
-            custody::preserve(&mut queue, &mut absences, owner, preserved)
+            replication::keep_replica_batch(&mut queue, &mut absences, owner, preserved)
         };
         self.log.write(&entries).await
     }
--- a/crates/node/src/store/quota.rs
+++ b/crates/node/src/store/quota.rs
@@ -6,9 +6,11 @@
 use crate::calls::{CountRequest, Refusal};
 use net::runtime;
 use queue::Message;
-use quota::grant::{self, Candidate, Reply, Token};
-use quota::ledger::Known;
-use quota::{Counted, Counters, Denial, Grant, Ledger, Ms, Progress, Return, Want};
+use quota::ledger::TenantLimit;
+use quota::quorum::{self, Candidate, CounterReply, Token};
+use quota::{
+    Counters, Denial, Ledger, Ms, Progress, QuorumRequest, TokenRequest, TokenResponse, TokenReturn,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -69,13 +71,13 @@
         }
         let now = self.clock.ms();
         let asked_ms = now.saturating_sub(news_age.as_millis() as Ms);
-        self.counting.ledger.borrow_mut().heard(&stores.owners, asked_ms, now);
+        self.counting.ledger.borrow_mut().update_members(&stores.owners, asked_ms, now);
     }
 
-    fn limit_of(&self, tenant: &str) -> Known {
+    fn limit_of(&self, tenant: &str) -> TenantLimit {
         match self.known.configuration().tenant(tenant) {
-            Some(tenant) => tenant.quota().map_or(Known::Unlimited, Known::Limited),
-            None => Known::Unknown,
+            Some(tenant) => tenant.quota().map_or(TenantLimit::Unlimited, TenantLimit::Limited),
+            None => TenantLimit::Unknown,
         }
     }
 
@@ -83,19 +85,19 @@
     pub(super) async fn count(self: &Rc<Self>, message: &Message) -> Result<(), Refusal> {
         let Some(tenant) = &message.envelope.tenant else { return Ok(()) };
         let begun = runtime::now();
-        match self.limit_once_known(tenant, message.envelope.version, begun).await {
-            Known::Unlimited => return Ok(()),
-            Known::Unknown => return Err(Refusal::NotCounted),
-            Known::Limited(_) => {}
+        match self.limit_once_known(tenant, message.envelope.config_version, begun).await {
+            TenantLimit::Unlimited => return Ok(()),
+            TenantLimit::Unknown => return Err(Refusal::NotCounted),
+            TenantLimit::Limited(_) => {}
         }
         if self.is_short(tenant) {
             return Err(Refusal::OverQuota);
         }
         match self.quorum_of_tokens(tenant, begun).await {
             Ok(()) => Ok(()),
-            Err(Denial::NotCounted) => Err(Refusal::NotCounted),
-            Err(Denial::OverQuota { for_ms }) => {
-                let until = self.clock.ms() + for_ms;
+            Err(Denial::QuorumUnavailable) => Err(Refusal::NotCounted),
+            Err(Denial::OverQuota { refuse_for_ms }) => {
+                let until = self.clock.ms() + refuse_for_ms;
                 self.counting.short_until.borrow_mut().insert(tenant.clone(), until);
                 Err(Refusal::OverQuota)
             }
@@ -103,12 +105,12 @@
     }
 
     /// The limit of a tenant. Where an edge knew the tenant by a newer configuration than this store, that is waited for.
-    async fn limit_once_known(&self, tenant: &str, version: u64, begun: Instant) -> Known {
+    async fn limit_once_known(&self, tenant: &str, version: u64, begun: Instant) -> TenantLimit {
         loop {
             let seen = self.known.changes.get();
             let limit = self.limit_of(tenant);
             let left = PATIENCE.saturating_sub(runtime::elapsed(begun));
-            if limit != Known::Unknown || self.known.version() >= version || left.is_zero() {
+            if limit != TenantLimit::Unknown || self.known.version() >= version || left.is_zero() {
                 return limit;
             }
             let _ = runtime::timeout(left, self.known.changes.changed(seen)).await;
@@ -123,16 +125,16 @@
     /// Asks counters for tokens until a quorum has given one each, or can't any more.
     async fn quorum_of_tokens(self: &Rc<Self>, tenant: &str, begun: Instant) -> Result<(), Denial> {
         let counters = self.counting.ledger.borrow().counters(tenant);
-        let mut grant = Grant::new(&counters, &self.order(tenant, &counters));
+        let mut grant = QuorumRequest::new(&counters, &self.order(tenant, &counters));
         let asked = Rc::new(Asked::default());
         let mut wait = LATE;
-        while grant.progress() == Progress::Open {
+        while grant.progress() == Progress::Pending {
             let seen = asked.changed.get();
-            let to_ask = grant.to_ask();
-            to_ask.iter().for_each(|disk| self.ask_counter(*disk, tenant, &counters, &asked));
+            let counters_to_ask = grant.counters_to_ask();
+            counters_to_ask.iter().for_each(|disk| self.ask_counter(*disk, tenant, &counters, &asked));
             let replies = asked.take();
             if !replies.is_empty() {
-                replies.into_iter().for_each(|(disk, reply)| grant.heard(disk, reply));
+                replies.into_iter().for_each(|(disk, reply)| grant.record_reply(disk, reply));
                 continue;
             }
             let left = wait.saturating_sub(runtime::elapsed(begun));
@@ -142,7 +144,10 @@
             }
             if !answered {
                 wait = PATIENCE;
-                grant.late().iter().for_each(|disk| self.counting.lines.is_silent(*disk, self.clock.ms()));
+                grant
+                    .mark_late()
+                    .iter()
+                    .for_each(|disk| self.counting.lines.is_silent(*disk, self.clock.ms()));
             }
         }
         asked.over.set(true);
@@ -151,17 +156,22 @@
 
     /// Gives back what isn't used. Tokens that came while this process stood still are not used either: they were counted
     /// in another time.
-    fn settle_tokens(self: &Rc<Self>, tenant: &str, mut grant: Grant, begun: Instant) -> Result<(), Denial> {
+    fn settle_tokens(
+        self: &Rc<Self>,
+        tenant: &str,
+        mut grant: QuorumRequest,
+        begun: Instant,
+    ) -> Result<(), Denial> {
         let in_time = runtime::elapsed(begun) <= PATIENCE;
         if !in_time {
-            grant.give_up();
+            grant.abandon();
         }
-        let unused = grant.to_give_back();
+        let unused = grant.unused_tokens();
         unused.into_iter().for_each(|token| self.give_back(tenant, token));
         match grant.progress() {
             Progress::Granted => Ok(()),
             Progress::Denied(denial) => Err(denial),
-            Progress::Open => Err(grant.denial()),
+            Progress::Pending => Err(grant.denial()),
         }
     }
 
@@ -169,18 +179,18 @@
         let stores = self.known.stores();
         let now = self.clock.ms();
         let candidate = |disk: &u64| {
-            let (silent, plenty) = self.counting.lines.last_words(*disk, tenant, now);
+            let (unresponsive, above_half) = self.counting.lines.last_words(*disk, tenant, now);
             let distance = stores.get(*disk).map(|store| store.location.distance(&self.location) as u32);
-            Candidate { disk: *disk, silent, plenty, distance: distance.unwrap_or(u32::MAX) }
+            Candidate { disk: *disk, unresponsive, above_half, distance: distance.unwrap_or(u32::MAX) }
         };
         let turn = self.counting.turn.get();
         self.counting.turn.set(turn.wrapping_add(1));
-        grant::order(counters.disks().iter().map(candidate).collect(), turn)
+        quorum::ask_order(counters.disks().iter().map(candidate).collect(), turn)
     }
 
     /// Asks one counter for a token; this store itself without a call.
     fn ask_counter(self: &Rc<Self>, disk: u64, tenant: &str, counters: &Counters, asked: &Rc<Asked>) {
-        let want = Want { tenant: tenant.to_string(), counters: counters.digest(), tokens: 1 };
+        let want = TokenRequest { tenant: tenant.to_string(), counters_digest: counters.digest(), tokens: 1 };
         if disk != self.disk {
             return self.ask_by_call(disk, want, asked.clone());
         }
@@ -190,27 +200,27 @@
 
     /// Gives back a token that no message used.
     pub(super) fn give_back(self: &Rc<Self>, tenant: &str, token: Token) {
-        let returned = Return { tenant: tenant.to_string(), tokens: 1, taken: token.stamp };
+        let returned = TokenReturn { tenant: tenant.to_string(), tokens: 1, stamp: token.stamp };
         match token.disk == self.disk {
-            true => self.counting.ledger.borrow_mut().take_back(&returned, self.clock.ms()),
+            true => self.counting.ledger.borrow_mut().return_tokens(&returned, self.clock.ms()),
             false => self.return_by_call(token.disk, returned),
         }
     }
 
-    fn count_here(&self, want: &Want) -> Counted {
+    fn count_here(&self, want: &TokenRequest) -> TokenResponse {
         let limit = self.limit_of(&want.tenant);
-        self.counting.ledger.borrow_mut().count(want, limit, self.clock.ms())
+        self.counting.ledger.borrow_mut().take_tokens(want, limit, self.clock.ms())
     }
 
     /// Answers a batch of requests for tokens.
-    pub(super) fn count_for(&self, request: CountRequest) -> Vec<Counted> {
+    pub(super) fn count_for(&self, request: CountRequest) -> Vec<TokenResponse> {
         self.note_members();
         let now = self.clock.ms();
         let mut ledger = self.counting.ledger.borrow_mut();
-        request.returns.iter().for_each(|returned| ledger.take_back(returned, now));
+        request.returns.iter().for_each(|returned| ledger.return_tokens(returned, now));
         if now >= self.counting.forgotten_at.get() + FORGET_EVERY {
             self.counting.forgotten_at.set(now);
-            ledger.forget_idle(now);
+            ledger.remove_idle(now);
         }
         drop(ledger);
         request.wants.iter().map(|want| self.count_here(want)).collect()
@@ -220,7 +230,7 @@
     pub(super) fn tenants_near_limits(&self) -> serde_json::Value {
         let near = self.counting.ledger.borrow_mut().near_limit(NEAR_LIMIT, self.clock.ms());
         let shown = near.into_iter().map(|used| {
-            let share = (used.share * 100.0).round() / 100.0;
+            let share = (used.used_share * 100.0).round() / 100.0;
             serde_json::json!({"tenant": used.tenant, "used": share, "refused": used.refused})
         });
         shown.collect()
@@ -228,11 +238,11 @@
 }
 
 /// What the message at a place of a batch is told.
-pub(super) fn reply_of(counted: Counted, place: u32) -> Reply {
+pub(super) fn reply_of(counted: TokenResponse, place: u32) -> CounterReply {
     match counted {
-        Counted::Taken { tokens, stamp, .. } if place < tokens => Reply::Token(stamp),
-        Counted::Taken { short_ms, .. } => Reply::Short(short_ms),
-        Counted::NoLimit => Reply::NoLimit,
-        Counted::NotHere => Reply::NotCounted,
+        TokenResponse::Granted { tokens, stamp, .. } if place < tokens => CounterReply::Token(stamp),
+        TokenResponse::Granted { next_token_ms, .. } => CounterReply::Exhausted(next_token_ms),
+        TokenResponse::NoLimit => CounterReply::NoLimit,
+        TokenResponse::NotCounting => CounterReply::Unavailable,
     }
 }
--- a/crates/node/src/store/quota_calls.rs
+++ b/crates/node/src/store/quota_calls.rs
@@ -5,8 +5,8 @@
 use crate::calls::{Call, CountRequest};
 use net::runtime;
 use net::wake::Watched;
-use quota::grant::{Reply, Token};
-use quota::{Counted, Ms, Return, Want};
+use quota::quorum::{CounterReply, Token};
+use quota::{Ms, TokenRequest, TokenResponse, TokenReturn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 /// The answers that came to one message's requests for tokens.
 #[derive(Default)]
 pub struct Asked {
-    replies: RefCell<Vec<(u64, Reply)>>,
+    replies: RefCell<Vec<(u64, CounterReply)>>,
     pub changed: Watched,
     /// The message is decided: tokens that come now are given back.
     pub over: Cell<bool>,
@@ -26,7 +26,7 @@
 
 impl Asked {
     /// A counter answered; false if the answer isn't needed any more.
-    pub fn reply(&self, disk: u64, reply: Reply) -> bool {
+    pub fn reply(&self, disk: u64, reply: CounterReply) -> bool {
         if self.over.get() {
             return false;
         }
@@ -36,14 +36,14 @@
     }
 
     /// The answers that came since this was called last.
-    pub fn take(&self) -> Vec<(u64, Reply)> {
+    pub fn take(&self) -> Vec<(u64, CounterReply)> {
         self.replies.take()
     }
 }
 
 /// A message that waits for one counter.
 struct Waiting {
-    want: Want,
+    want: TokenRequest,
     asked: Rc<Asked>,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Default)]
 struct Line {
     waiting: RefCell<Vec<Waiting>>,
-    returns: RefCell<Vec<Return>>,
+    returns: RefCell<Vec<TokenReturn>>,
     under_way: Cell<bool>,
     silent_until: Cell<Ms>,
     /// Tenants whose bucket there was more than half full when it was asked last.
@@ -60,7 +60,7 @@
 
 /// Requests of one tenant in a batch.
 struct Group {
-    want: Want,
+    want: TokenRequest,
     messages: Vec<Rc<Asked>>,
 }
 
@@ -69,8 +69,8 @@
     fn take_waiting(&self) -> Vec<Group> {
         let mut groups: BTreeMap<(String, u64), Group> = BTreeMap::new();
         for Waiting { want, asked } in self.waiting.take() {
-            let key = (want.tenant.clone(), want.counters);
-            let new = || Group { want: Want { tokens: 0, ..want.clone() }, messages: Vec::new() };
+            let key = (want.tenant.clone(), want.counters_digest);
+            let new = || Group { want: TokenRequest { tokens: 0, ..want.clone() }, messages: Vec::new() };
             let group = groups.entry(key).or_insert_with(new);
             group.want.tokens += want.tokens;
             group.messages.push(asked);
@@ -78,10 +78,11 @@
         groups.into_values().collect()
     }
 
-    fn take_returns(&self) -> Vec<Return> {
-        let mut returns: Vec<Return> = Vec::new();
+    fn take_returns(&self) -> Vec<TokenReturn> {
+        let mut returns: Vec<TokenReturn> = Vec::new();
         for returned in self.returns.take() {
-            let same = |other: &&mut Return| other.tenant == returned.tenant && other.taken == returned.taken;
+            let same =
+                |other: &&mut TokenReturn| other.tenant == returned.tenant && other.stamp == returned.stamp;
             match returns.iter_mut().find(same) {
                 Some(other) => other.tokens += returned.tokens,
                 None => returns.push(returned),
@@ -115,13 +116,13 @@
 
 impl Store {
     /// Has a request for a token wait for the next call to a counter.
-    pub(super) fn ask_by_call(self: &Rc<Self>, disk: u64, want: Want, asked: Rc<Asked>) {
+    pub(super) fn ask_by_call(self: &Rc<Self>, disk: u64, want: TokenRequest, asked: Rc<Asked>) {
         self.counting.lines.to(disk).waiting.borrow_mut().push(Waiting { want, asked });
         self.call_counter(disk);
     }
 
     /// Has a token that no message used wait for the next call to its counter.
-    pub(super) fn return_by_call(self: &Rc<Self>, disk: u64, returned: Return) {
+    pub(super) fn return_by_call(self: &Rc<Self>, disk: u64, returned: TokenReturn) {
         self.counting.lines.to(disk).returns.borrow_mut().push(returned);
         self.call_counter(disk);
     }
@@ -144,13 +145,19 @@
         line.under_way.set(false);
     }
 
-    async fn call_once(self: &Rc<Self>, disk: u64, line: &Line, groups: Vec<Group>, returns: Vec<Return>) {
+    async fn call_once(
+        self: &Rc<Self>,
+        disk: u64,
+        line: &Line,
+        groups: Vec<Group>,
+        returns: Vec<TokenReturn>,
+    ) {
         let wants = groups.iter().map(|group| group.want.clone()).collect();
         let call = Call::Count(CountRequest { wants, returns });
         let answer = match self.known.store(disk) {
             Some(store) => {
                 let to = SocketAddr::new(store.ip, self.port);
-                self.peers.call::<Call, Vec<Counted>>(to, &call, PATIENCE).await.ok()
+                self.peers.call::<Call, Vec<TokenResponse>>(to, &call, PATIENCE).await.ok()
             }
             None => None,
         };
@@ -160,20 +167,20 @@
         }
         let mut counted = answer.unwrap_or_default().into_iter();
         for group in groups {
-            let counted = counted.next().unwrap_or(Counted::NotHere);
-            if let Counted::Taken { plenty, .. } = counted {
-                line.plenty.borrow_mut().insert(group.want.tenant.clone(), plenty);
+            let counted = counted.next().unwrap_or(TokenResponse::NotCounting);
+            if let TokenResponse::Granted { above_half, .. } = counted {
+                line.plenty.borrow_mut().insert(group.want.tenant.clone(), above_half);
             }
             self.share_out(disk, &group, counted);
         }
     }
 
     /// Tells each message of a group what the counter said; tokens of messages that are decided go back.
-    fn share_out(self: &Rc<Self>, disk: u64, group: &Group, counted: Counted) {
+    fn share_out(self: &Rc<Self>, disk: u64, group: &Group, counted: TokenResponse) {
         for (place, asked) in group.messages.iter().enumerate() {
             let reply = reply_of(counted, place as u32);
             let needed = asked.reply(disk, reply);
-            if let (false, Reply::Token(stamp)) = (needed, reply) {
+            if let (false, CounterReply::Token(stamp)) = (needed, reply) {
                 self.give_back(&group.want.tenant, Token { disk, stamp });
             }
         }
--- a/crates/node/src/store/races.rs
+++ b/crates/node/src/store/races.rs
@@ -58,7 +58,7 @@
     /// Asks the stores that were given a message before, or their heirs, to leave it to this one.
     pub async fn ask_to_leave(&self, message: &Message) -> Asked {
         let view = self.known.stores();
-        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_heir(*disk));
+        let owners = message.envelope.also_sent_to.iter().filter_map(|disk| view.final_heir(*disk));
         let others: BTreeSet<u64> = owners.filter(|disk| *disk != self.disk).collect();
         let mut silent = Vec::new();
         for disk in others {
@@ -177,7 +177,7 @@
     /// Messages that this store has taken and that another one was given before, which leaves them here once it hears so.
     /// From then on a request by that one to leave them is an old one.
     pub(super) fn promise_taken(&self, owner: u64) -> Vec<String> {
-        let mut taken = self.queue.borrow().taken_from(owner);
+        let mut taken = self.queue.borrow().accepted_also_sent_to(owner);
         taken.retain(|id| !self.is_asked_for(id));
         let (mut promised, now) = (self.promised.borrow_mut(), self.clock.ms());
         for id in &taken {
@@ -199,7 +199,7 @@
         for id in taken {
             let entry = Entry::Dropped { owner: self.disk, id: id.clone() };
             let holders = self.holders(&id);
-            if self.queue.borrow_mut().leave(&id) {
+            if self.queue.borrow_mut().relinquish(&id) {
                 self.log.note(&entry);
                 self.tell(&holders, &entry);
                 self.not_wanted.borrow_mut().insert(id.clone(), self.clock.ms());
--- a/crates/node/src/store/takeover.rs
+++ b/crates/node/src/store/takeover.rs
@@ -3,7 +3,10 @@
 use super::{some_of, Store};
 use crate::calls::{Call, EndedPiece, Piece};
 use net::runtime;
-use queue::{custody, End, EndedMessage, Entry, Envelope, Given, GivenEnded, Message, Outcome, OwnedMessage};
+use queue::{
+    replication, Entry, Envelope, FinalRecord, FinishedMessage, FinishedTransfer, Message, MessageTransfer,
+    Outcome, OwnedMessage,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,10 +27,10 @@
     Releasing,
 }
 
-fn dead_letter_of(given: &mut GivenEnded) -> Option<&mut Message> {
-    match &mut given.ended {
-        EndedMessage::DeadLetter { message, .. } => Some(message),
-        EndedMessage::Completed { .. } => None,
+fn dead_letter_of(given: &mut FinishedTransfer) -> Option<&mut Message> {
+    match &mut given.finished {
+        FinishedMessage::DeadLetter { message, .. } => Some(message),
+        FinishedMessage::Completed { .. } => None,
     }
 }
 
@@ -72,7 +75,7 @@
             self.release(disk, lost).await;
         }
         // A later process needn't ask all others again before it decides on keys.
-        self.queue.borrow_mut().has_taken_over(lost);
+        self.queue.borrow_mut().mark_taken_over(lost);
         self.log.note(&Entry::TakenOver { disk: lost });
         self.inheriting.borrow_mut().remove(&lost);
     }
@@ -163,7 +166,7 @@
                 runtime::sleep(PAUSE).await;
                 continue;
             };
-            after = given.last().map_or(after, |given| given.ended.id().to_string());
+            after = given.last().map_or(after, |given| given.finished.id().to_string());
             self.adopt_ended(given).await;
             if !more {
                 return;
@@ -172,43 +175,44 @@
     }
 
     /// Owns messages that have ended from now on, with what is owed of them.
-    pub(super) async fn adopt_ended(self: &Rc<Self>, given: Vec<GivenEnded>) {
+    pub(super) async fn adopt_ended(self: &Rc<Self>, given: Vec<FinishedTransfer>) {
         let given = self.with_sound_bodies(given, dead_letter_of).await;
-        let is_live = |given: &GivenEnded| {
-            self.queue.borrow().owned(given.ended.id()).is_some_and(|owned| owned.is_live())
+        let is_live = |given: &FinishedTransfer| {
+            self.queue.borrow().owned(given.finished.id()).is_some_and(|owned| owned.is_live())
         };
-        let (live, ended): (Vec<GivenEnded>, Vec<GivenEnded>) = given.into_iter().partition(is_live);
-        live.iter().for_each(|given| self.finish(given.ended.end()));
+        let (live, ended): (Vec<FinishedTransfer>, Vec<FinishedTransfer>) =
+            given.into_iter().partition(is_live);
+        live.iter().for_each(|given| self.finish(given.finished.final_record()));
         self.leave_rivals_of(&ended);
-        let (entries, new) = custody::adopt_ended(&mut self.queue.borrow_mut(), ended);
+        let (entries, new) = replication::adopt_finished(&mut self.queue.borrow_mut(), ended);
         while !entries.is_empty() && !self.log.write(&entries).await {
             runtime::sleep(PAUSE).await;
         }
         if new.is_empty() {
             return;
         }
-        let owing: Vec<&GivenEnded> = new.iter().filter(|given| !given.called_back).collect();
+        let owing: Vec<&FinishedTransfer> = new.iter().filter(|given| !given.callback_done).collect();
         log::info!("{} ended messages of another store are kept, {} call-backs owed", new.len(), owing.len());
-        owing.iter().for_each(|given| self.call_back(given.ended.envelope(), &given.ended.outcome()));
+        owing.iter().for_each(|given| self.call_back(given.finished.envelope(), &given.finished.outcome()));
         self.needs_repair.set(true);
     }
 
     /// Owns messages from now on, and lets them run; `copy` already holds them.
-    pub async fn adopt(self: &Rc<Self>, given: Vec<Given>, copy: Option<u64>) {
+    pub async fn adopt(self: &Rc<Self>, given: Vec<MessageTransfer>, copy: Option<u64>) {
         let given = self.with_sound_bodies(given, |given| Some(&mut given.message)).await;
         let given = self.settle_operations(given);
-        let (entries, ids) = custody::adopt(&mut self.queue.borrow_mut(), given);
+        let (entries, ids) = replication::adopt(&mut self.queue.borrow_mut(), given);
         while !entries.is_empty() && !self.log.write(&entries).await {
             runtime::sleep(PAUSE).await;
         }
         for id in ids {
             let mut queue = self.queue.borrow_mut();
-            copy.into_iter().for_each(|disk| queue.copy_kept(&id, disk));
+            copy.into_iter().for_each(|disk| queue.confirm_copy(&id, disk));
             let Some(message) = queue.owned(&id).and_then(|owned| owned.live_message()).cloned() else {
                 continue;
             };
-            if message.envelope.also_at.is_empty() {
-                queue.accept(&id);
+            if message.envelope.also_sent_to.is_empty() {
+                queue.mark_replicated(&id);
             } else {
                 self.taking.set(self.taking.get() + 1);
                 runtime::spawn(self.clone().accept(message));
@@ -219,34 +223,38 @@
     }
 
     /// Ends a message: on the disk, at the copies, and by call-back.
-    pub fn finish(self: &Rc<Self>, end: End) {
+    pub fn finish(self: &Rc<Self>, end: FinalRecord) {
         let id = end.id.clone();
-        if !self.queue.borrow_mut().end(end.clone()) {
+        if !self.queue.borrow_mut().finish(end.clone()) {
             return;
         }
-        self.tell_copies(&id, &Entry::Ended(end.clone()));
+        self.tell_copies(&id, &Entry::Finished(end.clone()));
         self.look_after_ended(&id);
-        let owes =
-            self.queue.borrow().owned(&id).filter(|owned| owned.owes_callback).map(|o| o.envelope().clone());
+        let owes = self
+            .queue
+            .borrow()
+            .owned(&id)
+            .filter(|owned| owned.callback_pending)
+            .map(|o| o.envelope().clone());
         match owes {
             Some(envelope) => {
                 let store = self.clone();
                 runtime::spawn(async move {
-                    while !store.log.write(&[Entry::Ended(end.clone())]).await {
+                    while !store.log.write(&[Entry::Finished(end.clone())]).await {
                         runtime::sleep(PAUSE).await;
                     }
                     store.call_back(&envelope, &end.outcome);
                 });
             }
-            None => self.log.note(&Entry::Ended(end)),
+            None => self.log.note(&Entry::Finished(end)),
         }
     }
 
     /// A message that ended before it had all its copies gets the rest, if something of it is owed.
     fn look_after_ended(&self, id: &str) {
         let (queue, placement) = (self.queue.borrow(), self.placement());
-        let owing = queue.owned(id).filter(|owned| owned.owes_after_end());
-        if owing.is_some_and(|owned| placement.missing(&owned.copies) > 0) {
+        let owing = queue.owned(id).filter(|owned| owned.must_be_retained());
+        if owing.is_some_and(|owned| placement.missing_copies(&owned.confirmed_holders) > 0) {
             self.needs_repair.set(true);
         }
     }
@@ -259,10 +267,10 @@
 
     /// Call-backs that were owed when the process ended.
     pub fn owed_callbacks(self: &Rc<Self>) {
-        let owed: Vec<EndedMessage> = {
+        let owed: Vec<FinishedMessage> = {
             let queue = self.queue.borrow();
-            let owing = queue.all_owned().filter(|owned| owned.owes_callback);
-            owing.filter_map(OwnedMessage::ended_message).cloned().collect()
+            let owing = queue.all_owned().filter(|owned| owned.callback_pending);
+            owing.filter_map(OwnedMessage::finished_message).cloned().collect()
         };
         owed.iter().for_each(|ended| self.call_back(ended.envelope(), &ended.outcome()));
     }
@@ -275,7 +283,7 @@
     /// Stores that may hold a copy of a message.
     pub fn holders(&self, id: &str) -> Vec<u64> {
         let queue = self.queue.borrow();
-        queue.owned(id).map_or(Vec::new(), |known| known.holders().into_iter().collect())
+        queue.owned(id).map_or(Vec::new(), |known| known.possible_holders().into_iter().collect())
     }
 
     /// Tells stores a record.
--- a/crates/node/src/tools.rs
+++ b/crates/node/src/tools.rs
@@ -114,23 +114,23 @@
         let kind = match &entry {
             Entry::Disk(_) => "disk",
             Entry::Message { .. } => "message",
-            Entry::Failed { .. } => "failed attempt",
-            Entry::Ended(_) => "end",
-            Entry::CalledBack { .. } => "call-back",
+            Entry::AttemptFailed { .. } => "failed attempt",
+            Entry::Finished(_) => "end",
+            Entry::CallbackDone { .. } => "call-back",
             Entry::Dropped { .. } => "dropped copy",
             Entry::Fenced { .. } => "fence",
             Entry::TakenOver { .. } => "taken over",
-            Entry::EndedMessage { .. } => "ended message",
+            Entry::FinishedMessage { .. } => "ended message",
         };
         *kinds.entry(kind).or_default() += 1;
-        queue.recover(entry);
+        queue.replay(entry);
     }
-    queue.recovered();
-    let queue::Counts { waiting, ended, replicas, .. } = queue.counts();
+    queue.finish_recovery();
+    let queue::Counts { waiting, finished, replicas, .. } = queue.counts();
     let mut lines: Vec<String> =
         kinds.iter().map(|(kind, count)| format!("{count} records: {kind}")).collect();
     lines.push(format!(
-        "disk {:016x}: {waiting} messages waiting, {ended} ended, {replicas} copies",
+        "disk {:016x}: {waiting} messages waiting, {finished} ended, {replicas} copies",
         queue.disk()
     ));
     lines
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -36,7 +36,7 @@
     assert_eq!(first, None, "there is one file alone");
     // Fills the first file with what doesn't count any more.
     while ring.oldest().is_none() {
-        append(&mut ring, &Entry::Failed { id: "over".to_string(), attempts: 1 });
+        append(&mut ring, &Entry::AttemptFailed { id: "over".to_string(), attempts: 1 });
     }
     for number in 0..20 {
         append(&mut ring, &own_message(number));
@@ -45,11 +45,11 @@
     let oldest = ring.oldest().unwrap();
     carry_out(&mut ring, Job::Release(oldest));
     while ring.oldest().is_some_and(|oldest| oldest < 4) && ring.free() > 1 {
-        append(&mut ring, &Entry::Failed { id: "over".to_string(), attempts: 1 });
+        append(&mut ring, &Entry::AttemptFailed { id: "over".to_string(), attempts: 1 });
     }
     drop(ring);
     let mut queue = Queue::default();
-    read(memory, SHAPE, &mut |entry| queue.recover(entry)).unwrap();
+    read(memory, SHAPE, &mut |entry| queue.replay(entry)).unwrap();
     assert_eq!(queue.disk(), DISK);
     assert_eq!(queue.all_owned().count(), own);
 }
--- a/crates/node/tests/model/machine.rs
+++ b/crates/node/tests/model/machine.rs
@@ -95,7 +95,7 @@
                 )
             })
             .collect();
-        let untold = store.queue.borrow().all_owned().filter(|known| !known.untold.is_empty()).count();
+        let untold = store.queue.borrow().all_owned().filter(|known| !known.unnotified.is_empty()).count();
         format!(
             "{} {:016x}: {:?}, leaving {} paused {} needs repair {} lacks {} untold {untold} taking {} running {} inheriting {:x?}; {}",
             self.name,
@@ -150,7 +150,7 @@
             let mut queue = Queue::default();
             let mut fold = |entry| {
                 if let Some(entry) = remembers(entry) {
-                    queue.recover(entry);
+                    queue.replay(entry);
                 }
             };
             let (ring, found) = read(memory, SHAPE, &mut fold).unwrap();
--- a/crates/node/tests/model/mistakes.rs
+++ b/crates/node/tests/model/mistakes.rs
@@ -3,8 +3,8 @@
 use super::BODY_WORD;
 use borsh::BorshDeserialize as _;
 use node::calls::{Call, EndedPiece, HeldFor, Piece};
-use queue::custody::Ids;
-use queue::{EndedMessage, Entry, Envelope, GivenEnded, HeldIds};
+use queue::replication::MessageIds;
+use queue::{Entry, Envelope, FinishedMessage, FinishedTransfer, HeldIds};
 use simulation::network::Tamper;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -55,12 +55,12 @@
             strip(&mut message.envelope);
             Entry::Message { owner, message }
         }
-        Entry::EndedMessage { owner, mut given } => {
-            match &mut given.ended {
-                EndedMessage::Completed { envelope, .. } => strip(envelope),
-                EndedMessage::DeadLetter { message, .. } => strip(&mut message.envelope),
+        Entry::FinishedMessage { owner, mut transfer } => {
+            match &mut transfer.finished {
+                FinishedMessage::Completed { envelope, .. } => strip(envelope),
+                FinishedMessage::DeadLetter { message, .. } => strip(&mut message.envelope),
             }
-            Entry::EndedMessage { owner, given }
+            Entry::FinishedMessage { owner, transfer }
         }
         other => other,
     }
@@ -74,8 +74,8 @@
 }
 
 /// Nothing is owed of it but that a repeat of its operation is known.
-fn is_known_for_its_operation(given: &GivenEnded) -> bool {
-    given.called_back && given.ended.dead_letter().is_none()
+fn is_known_for_its_operation(given: &FinishedTransfer) -> bool {
+    given.callback_done && given.finished.dead_letter().is_none()
 }
 
 impl Mistake {
@@ -83,7 +83,7 @@
     pub fn remembers(self) -> fn(Entry) -> Option<Entry> {
         match self {
             Mistake::ForgetsFences => |entry| (!matches!(entry, Entry::Fenced { .. })).then_some(entry),
-            Mistake::LosesEnds => |entry| (!matches!(entry, Entry::Ended(_))).then_some(entry),
+            Mistake::LosesEnds => |entry| (!matches!(entry, Entry::Finished(_))).then_some(entry),
             Mistake::ForgetsOperations => |entry| Some(without_operation(entry)),
             _ => Some,
         }
@@ -124,8 +124,8 @@
                 borsh::to_vec(&Some(EndedPiece { given: Vec::new(), more: false }))
             }
             (Mistake::PreservesNothingEnded, Call::Lacking { .. }) => {
-                let lacking = Ids::try_from_slice(&answer).unwrap();
-                borsh::to_vec(&Ids { ended: Vec::new(), ..lacking })
+                let lacking = MessageIds::try_from_slice(&answer).unwrap();
+                borsh::to_vec(&MessageIds { finished: Vec::new(), ..lacking })
             }
             _ => return answer,
         };
--- a/crates/node/tests/preserve.rs
+++ b/crates/node/tests/preserve.rs
@@ -1,7 +1,7 @@
 //! Which stores are to hold a message while its owner is away, and the bounds of what goes out in one call.
 use node::store::peers::{live_piece, PIECE_BYTES};
-use queue::custody::chosen;
-use queue::{Envelope, Given, Message, Placement};
+use queue::replication::choose_holders;
+use queue::{Envelope, Message, MessageTransfer, Placement};
 use rstest::rstest;
 use settings::{Location, Tolerance};
 use std::collections::BTreeSet;
@@ -17,9 +17,9 @@
     let mut moved = 0;
     for i in 0..1_000 {
         let id = format!("message-{i}");
-        let before = chosen(&id, &three_of(&all));
+        let before = choose_holders(&id, &three_of(&all));
         assert_eq!(before.iter().collect::<BTreeSet<_>>().len(), 3);
-        let kept = chosen(&id, &three_of(&fewer));
+        let kept = choose_holders(&id, &three_of(&fewer));
         assert!(before.iter().filter(|disk| **disk != 1).all(|disk| kept.contains(disk)));
         moved += usize::from(before.contains(&1));
     }
@@ -28,8 +28,8 @@
 
 #[test]
 fn where_there_are_few_stores_all_hold_it() {
-    assert_eq!(chosen("m", &three_of(&BTreeSet::from([4]))), [4]);
-    assert!(chosen("m", &three_of(&BTreeSet::new())).is_empty());
+    assert_eq!(choose_holders("m", &three_of(&BTreeSet::from([4]))), [4]);
+    assert!(choose_holders("m", &three_of(&BTreeSet::new())).is_empty());
 }
 
 /// Copies for an owner that is away outlast the loss of a region too, and every holder chooses the same ones. With the
@@ -49,15 +49,15 @@
     let copies = tolerance.copies() + 1;
     let placement = Placement::anywhere(stores, copies).with_spread(tolerance, locations, None);
     let in_one_region = (0..1_000).filter(|number| {
-        let disks = chosen(&format!("message-{number}"), &placement);
+        let disks = choose_holders(&format!("message-{number}"), &placement);
         assert_eq!(disks.len(), copies);
         disks.iter().all(|disk| region(*disk) == region(disks[0]))
     });
     assert!(expected.contains(&in_one_region.count()));
 }
 
-fn given(bytes: usize) -> Given {
-    Given { message: Message::new(Envelope::default(), vec![0; bytes]), attempts: 0 }
+fn given(bytes: usize) -> MessageTransfer {
+    MessageTransfer { message: Message::new(Envelope::default(), vec![0; bytes]), attempts: 0 }
 }
 
 #[test]
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -1,11 +1,11 @@
 //! The records of what happens to messages, and messages as one store gives them to another.
-use crate::ended::{End, EndedMessage};
+use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::Message;
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// A message that has not ended, as one store gives it to another.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Given {
+pub struct MessageTransfer {
     pub message: Message,
     /// Attempts that failed.
     pub attempts: u32,
@@ -13,10 +13,10 @@
 
 /// A message that has ended, as one store gives it to another: in one piece with its end.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct GivenEnded {
-    pub ended: EndedMessage,
+pub struct FinishedTransfer {
+    pub finished: FinishedMessage,
     /// The call-back about its end was accepted, or nobody is owed one.
-    pub called_back: bool,
+    pub callback_done: bool,
 }
 
 /// One record of the log. Most are messages, so a box would only be one more allocation for each.
@@ -28,17 +28,17 @@
     /// A message that has not ended, and is owned by the store with this disk.
     Message { owner: u64, message: Message },
     /// An attempt failed: how many have by now.
-    Failed { id: String, attempts: u32 },
+    AttemptFailed { id: String, attempts: u32 },
     /// A message has ended that was told of before.
-    Ended(End),
+    Finished(FinalRecord),
     /// The call-back about its end was accepted.
-    CalledBack { id: String },
+    CallbackDone { id: String },
     /// Another store has it: this owner's message, or replica of it, isn't needed any more.
     Dropped { owner: u64, id: String },
     /// The store with this disk was given up: nothing is kept for it any more.
     Fenced { disk: u64 },
     /// A message that has ended, with its end, and is owned by the store with this disk.
-    EndedMessage { owner: u64, given: GivenEnded },
+    FinishedMessage { owner: u64, transfer: FinishedTransfer },
     /// All that the lost store with this disk owned is here, and others have dropped what they kept of it.
     TakenOver { disk: u64 },
 }
@@ -49,9 +49,11 @@
         match self {
             Entry::Disk(_) | Entry::Fenced { .. } | Entry::TakenOver { .. } => None,
             Entry::Message { message, .. } => Some(message.id()),
-            Entry::EndedMessage { given, .. } => Some(given.ended.id()),
-            Entry::Failed { id, .. } | Entry::CalledBack { id } | Entry::Dropped { id, .. } => Some(id),
-            Entry::Ended(end) => Some(&end.id),
+            Entry::FinishedMessage { transfer, .. } => Some(transfer.finished.id()),
+            Entry::AttemptFailed { id, .. } | Entry::CallbackDone { id } | Entry::Dropped { id, .. } => {
+                Some(id)
+            }
+            Entry::Finished(final_record) => Some(&final_record.id),
         }
     }
 
@@ -59,13 +61,13 @@
     pub fn body_bytes(&self) -> usize {
         match self {
             Entry::Message { message, .. } => message.body.len(),
-            Entry::EndedMessage { given, .. } => given.ended.body_bytes(),
+            Entry::FinishedMessage { transfer, .. } => transfer.finished.body_bytes(),
             _ => 0,
         }
     }
 
     /// Whether it brings a message that its reader may not have had.
     pub fn has_message(&self) -> bool {
-        matches!(self, Entry::Message { .. } | Entry::EndedMessage { .. })
+        matches!(self, Entry::Message { .. } | Entry::FinishedMessage { .. })
     }
 }
--- a/crates/queue/src/ended.rs
+++ b/crates/queue/src/finished.rs
@@ -15,7 +15,7 @@
 
 /// The end of a message, for those who know the message already.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct End {
+pub struct FinalRecord {
     pub id: String,
     pub outcome: Outcome,
     pub at: WallMs,
@@ -24,26 +24,26 @@
 /// A message that has ended, together with its end: of a completed one the envelope is kept, of a dead letter all, since
 /// its body can be asked for as long as its state.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum EndedMessage {
+pub enum FinishedMessage {
     Completed { envelope: Rc<Envelope>, signature: String, at: WallMs },
     DeadLetter { message: Message, at: WallMs },
 }
 
-impl EndedMessage {
+impl FinishedMessage {
     /// What is kept of a message once it has ended.
-    pub fn new(message: Message, end: End) -> EndedMessage {
-        match end.outcome {
+    pub fn new(message: Message, final_record: FinalRecord) -> FinishedMessage {
+        match final_record.outcome {
             Outcome::Completed { signature } => {
-                EndedMessage::Completed { envelope: message.envelope, signature, at: end.at }
+                FinishedMessage::Completed { envelope: message.envelope, signature, at: final_record.at }
             }
-            Outcome::DeadLetter => EndedMessage::DeadLetter { message, at: end.at },
+            Outcome::DeadLetter => FinishedMessage::DeadLetter { message, at: final_record.at },
         }
     }
 
     pub fn envelope(&self) -> &Rc<Envelope> {
         match self {
-            EndedMessage::Completed { envelope, .. } => envelope,
-            EndedMessage::DeadLetter { message, .. } => &message.envelope,
+            FinishedMessage::Completed { envelope, .. } => envelope,
+            FinishedMessage::DeadLetter { message, .. } => &message.envelope,
         }
     }
 
@@ -55,32 +55,34 @@
     /// The whole message, if it is a dead letter.
     pub fn dead_letter(&self) -> Option<&Message> {
         match self {
-            EndedMessage::Completed { .. } => None,
-            EndedMessage::DeadLetter { message, .. } => Some(message),
+            FinishedMessage::Completed { .. } => None,
+            FinishedMessage::DeadLetter { message, .. } => Some(message),
         }
     }
 
     /// It is owed itself, whoever was called back: its body can be asked for, or a repeat of its operation has to be known.
-    pub fn is_owed(&self) -> bool {
-        self.dead_letter().is_some() || self.envelope().owes_operation()
+    pub fn must_be_retained(&self) -> bool {
+        self.dead_letter().is_some() || self.envelope().has_operation_key()
     }
 
     /// When it ended.
     pub fn at(&self) -> WallMs {
         match self {
-            EndedMessage::Completed { at, .. } | EndedMessage::DeadLetter { at, .. } => *at,
+            FinishedMessage::Completed { at, .. } | FinishedMessage::DeadLetter { at, .. } => *at,
         }
     }
 
     pub fn outcome(&self) -> Outcome {
         match self {
-            EndedMessage::Completed { signature, .. } => Outcome::Completed { signature: signature.clone() },
-            EndedMessage::DeadLetter { .. } => Outcome::DeadLetter,
+            FinishedMessage::Completed { signature, .. } => {
+                Outcome::Completed { signature: signature.clone() }
+            }
+            FinishedMessage::DeadLetter { .. } => Outcome::DeadLetter,
         }
     }
 
-    pub fn end(&self) -> End {
-        End { id: self.id().to_string(), outcome: self.outcome(), at: self.at() }
+    pub fn final_record(&self) -> FinalRecord {
+        FinalRecord { id: self.id().to_string(), outcome: self.outcome(), at: self.at() }
     }
 
     /// Bytes of the body that is kept.
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -20,26 +20,26 @@
 //! | [`view`] | the fold of all records; what is kept for other stores, as they ask for it |
 //! | [`placement`] | at which stores the copies of a message lie |
 //! | [`custody`] | what is decided about replicas at other stores, and about those kept for them |
-pub mod custody;
-pub mod ended;
+pub mod duplicates;
 pub mod entry;
+pub mod finished;
 pub mod message;
 pub mod operations;
 pub mod owned;
 pub mod placement;
 mod ready;
 pub mod replicas;
-pub mod rivals;
+pub mod replication;
 mod schedule;
-pub mod view;
+pub mod state;
 
-pub use ended::{End, EndedMessage, Outcome};
-pub use entry::{Entry, Given, GivenEnded};
+pub use entry::{Entry, FinishedTransfer, MessageTransfer};
+pub use finished::{FinalRecord, FinishedMessage, Outcome};
 pub use message::{Body, DamagedBody, Envelope, Message, TenantKey};
 pub use owned::{OwnedMessage, Stage};
 pub use placement::Placement;
 pub use replicas::Replica;
-pub use view::{Counts, HeldIds, Queue};
+pub use state::{Counts, HeldIds, Queue};
 
 /// Milliseconds of the wall clock, since 1970.
 pub type WallMs = u64;
--- a/crates/queue/src/message.rs
+++ b/crates/queue/src/message.rs
@@ -23,49 +23,49 @@
     /// It runs only once all of its tenant and key that were taken before it have ended.
     pub ordered: bool,
     /// Its place among the messages of its key: rises with each that an owner takes, and from owner to owner.
-    pub order: u64,
+    pub sequence: u64,
     pub callback: Option<String>,
     pub route: String,
     /// The version of the configuration by which it was taken.
-    pub version: u64,
-    pub taken_at: WallMs,
+    pub config_version: u64,
+    pub received_at: WallMs,
     /// Not to run earlier.
     pub due_at: WallMs,
     /// Milliseconds after it fell due in which a run is to begin.
-    pub aim_ms: u64,
+    pub target_start_ms: u64,
     /// Disks of stores that were given it before without a clear answer: they leave it to this one.
-    pub also_at: Vec<u64>,
+    pub also_sent_to: Vec<u64>,
     /// It ends then, run or not.
     pub expires_at: WallMs,
 }
 
 impl Envelope {
     /// The key by which order is kept, if it is: among all messages of one tenant and key, whatever their routes.
-    pub fn order_key(&self) -> Option<TenantKey> {
+    pub fn ordering_key(&self) -> Option<TenantKey> {
         let key = self.key.as_ref().filter(|_| self.ordered)?;
-        Some(self.of_tenant(key))
+        Some(self.tenant_key(key))
     }
 
     /// The key by which repeats of one operation are known, if the client gave one.
     pub fn operation(&self) -> Option<TenantKey> {
-        self.operation_key.as_ref().map(|key| self.of_tenant(key))
+        self.operation_key.as_ref().map(|key| self.tenant_key(key))
     }
 
     /// The key that says which store takes the message, if not every store may: all requests of one operation have to meet
     /// at one store, and all messages of one ordering key, whether the route is known as ordered by then or not.
-    pub fn home_key(&self) -> Option<TenantKey> {
+    pub fn partition_key(&self) -> Option<TenantKey> {
         match &self.key {
-            Some(key) => Some(self.of_tenant(key)),
+            Some(key) => Some(self.tenant_key(key)),
             None => self.operation(),
         }
     }
 
     /// The operation key is to be known for as long as ends are.
-    pub fn owes_operation(&self) -> bool {
+    pub fn has_operation_key(&self) -> bool {
         self.operation_key.is_some()
     }
 
-    fn of_tenant(&self, key: &str) -> TenantKey {
+    fn tenant_key(&self, key: &str) -> TenantKey {
         TenantKey { tenant: self.tenant.clone().unwrap_or_default(), key: key.to_string() }
     }
 }
--- a/crates/queue/src/operations.rs
+++ b/crates/queue/src/operations.rs
@@ -1,5 +1,5 @@
 //! Which message a store has for each operation: all requests of a tenant with one operation key are one message.
-use crate::entry::Given;
+use crate::entry::MessageTransfer;
 use crate::message::{Envelope, TenantKey};
 use crate::owned::{OwnedMessage, Stage};
 use std::collections::HashMap;
@@ -7,11 +7,11 @@
 /// How far a message has come. Which of two messages of one operation stays is decided by it first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
-    NotBegun,
+    NotStarted,
     /// An attempt has failed.
     Attempted,
     Running,
-    Ended,
+    Finished,
 }
 
 /// What decides between two messages of one operation: the one that has come further stays, of those that have not begun
@@ -20,30 +20,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     progress: Progress,
-    order: u64,
+    sequence: u64,
 }
 
 impl Precedence {
-    fn live(attempts: u32, order: u64) -> Precedence {
-        let progress = if attempts > 0 { Progress::Attempted } else { Progress::NotBegun };
-        Precedence { progress, order }
+    fn live(attempts: u32, sequence: u64) -> Precedence {
+        let progress = if attempts > 0 { Progress::Attempted } else { Progress::NotStarted };
+        Precedence { progress, sequence }
     }
 }
 
 impl OwnedMessage {
     pub fn precedence(&self) -> Precedence {
-        let order = self.envelope().order;
+        let sequence = self.envelope().sequence;
         match self.stage() {
-            None => Precedence { progress: Progress::Ended, order },
-            Some(Stage::Running) => Precedence { progress: Progress::Running, order },
-            Some(Stage::Copying | Stage::Waiting) => Precedence::live(self.attempts, order),
+            None => Precedence { progress: Progress::Finished, sequence },
+            Some(Stage::Running) => Precedence { progress: Progress::Running, sequence },
+            Some(Stage::Replicating | Stage::Waiting) => Precedence::live(self.attempts, sequence),
         }
     }
 }
 
-impl Given {
+impl MessageTransfer {
     pub fn precedence(&self) -> Precedence {
-        Precedence::live(self.attempts, self.message.envelope.order)
+        Precedence::live(self.attempts, self.message.envelope.sequence)
     }
 }
 
--- a/crates/queue/src/owned.rs
+++ b/crates/queue/src/owned.rs
@@ -1,7 +1,7 @@
 //! What is known of a message that this store owns.
-use crate::ended::{End, EndedMessage};
+use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::{Envelope, Message};
-use crate::ready::Place;
+use crate::ready::Position;
 use crate::WallMs;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Not on enough disks yet.
-    Copying,
+    Replicating,
     /// It may run once it is due and, with a key, once those before it have ended.
     Waiting,
     /// At an endpoint.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 enum State {
     Live(Message, Stage),
-    Ended(EndedMessage),
+    Finished(FinishedMessage),
 }
 
 /// A message that this store owns.
@@ -32,48 +32,52 @@
     /// Not to be tried again earlier.
     pub not_before: WallMs,
     /// Disks that hold a replica.
-    pub copies: BTreeSet<u64>,
+    pub confirmed_holders: BTreeSet<u64>,
     /// Disks that were sent a replica, and may hold it.
-    pub sent: BTreeSet<u64>,
+    pub sent_to: BTreeSet<u64>,
     /// A call-back about its end is owed, now or once it has ended.
-    pub owes_callback: bool,
+    pub callback_pending: bool,
     /// Disks whose replica doesn't know of the end yet.
-    pub untold: BTreeSet<u64>,
+    pub unnotified: BTreeSet<u64>,
     /// Disks of other stores that were given the message too and count on a replica here: there is one once this store
     /// has left the message to them.
-    pub kept_for: BTreeSet<u64>,
+    pub replica_owners: BTreeSet<u64>,
     /// Where it stands among those of its route that may run.
-    pub(crate) place: Option<Place>,
+    pub(crate) position: Option<Position>,
 }
 
 impl OwnedMessage {
-    pub(crate) fn live(message: Message, kept_for: BTreeSet<u64>) -> OwnedMessage {
-        let owes_callback = message.envelope.callback.is_some();
-        OwnedMessage::new(State::Live(message, Stage::Copying), owes_callback, kept_for)
+    pub(crate) fn live(message: Message, replica_owners: BTreeSet<u64>) -> OwnedMessage {
+        let callback_pending = message.envelope.callback.is_some();
+        OwnedMessage::new(State::Live(message, Stage::Replicating), callback_pending, replica_owners)
     }
 
-    pub(crate) fn ended(ended: EndedMessage, owes_callback: bool, kept_for: BTreeSet<u64>) -> OwnedMessage {
-        OwnedMessage::new(State::Ended(ended), owes_callback, kept_for)
+    pub(crate) fn finished(
+        finished: FinishedMessage,
+        callback_pending: bool,
+        replica_owners: BTreeSet<u64>,
+    ) -> OwnedMessage {
+        OwnedMessage::new(State::Finished(finished), callback_pending, replica_owners)
     }
 
-    fn new(state: State, owes_callback: bool, kept_for: BTreeSet<u64>) -> OwnedMessage {
+    fn new(state: State, callback_pending: bool, replica_owners: BTreeSet<u64>) -> OwnedMessage {
         OwnedMessage {
             state,
             attempts: 0,
             not_before: 0,
-            copies: BTreeSet::new(),
-            sent: BTreeSet::new(),
-            owes_callback,
-            untold: BTreeSet::new(),
-            kept_for,
-            place: None,
+            confirmed_holders: BTreeSet::new(),
+            sent_to: BTreeSet::new(),
+            callback_pending,
+            unnotified: BTreeSet::new(),
+            replica_owners,
+            position: None,
         }
     }
 
     pub fn envelope(&self) -> &Rc<Envelope> {
         match &self.state {
             State::Live(message, _) => &message.envelope,
-            State::Ended(ended) => ended.envelope(),
+            State::Finished(finished) => finished.envelope(),
         }
     }
 
@@ -86,7 +90,7 @@
     pub fn message(&self) -> Option<&Message> {
         match &self.state {
             State::Live(message, _) => Some(message),
-            State::Ended(ended) => ended.dead_letter(),
+            State::Finished(finished) => finished.dead_letter(),
         }
     }
 
@@ -94,7 +98,7 @@
     pub fn live_message(&self) -> Option<&Message> {
         match &self.state {
             State::Live(message, _) => Some(message),
-            State::Ended(_) => None,
+            State::Finished(_) => None,
         }
     }
 
@@ -102,7 +106,7 @@
     pub fn stage(&self) -> Option<Stage> {
         match &self.state {
             State::Live(_, stage) => Some(*stage),
-            State::Ended(_) => None,
+            State::Finished(_) => None,
         }
     }
 
@@ -112,22 +116,22 @@
     }
 
     /// What is kept of it, if it has ended.
-    pub fn ended_message(&self) -> Option<&EndedMessage> {
+    pub fn finished_message(&self) -> Option<&FinishedMessage> {
         match &self.state {
             State::Live(..) => None,
-            State::Ended(ended) => Some(ended),
+            State::Finished(finished) => Some(finished),
         }
     }
 
     /// Something is owed of it that must outlast this store, though it has ended: its body, its call-back, or that a repeat
     /// of its operation is known.
-    pub fn owes_after_end(&self) -> bool {
-        self.ended_message().is_some_and(|ended| self.owes_callback || ended.is_owed())
+    pub fn must_be_retained(&self) -> bool {
+        self.finished_message().is_some_and(|finished| self.callback_pending || finished.must_be_retained())
     }
 
     /// Disks that may hold a replica.
-    pub fn holders(&self) -> BTreeSet<u64> {
-        self.copies.union(&self.sent).copied().collect()
+    pub fn possible_holders(&self) -> BTreeSet<u64> {
+        self.confirmed_holders.union(&self.sent_to).copied().collect()
     }
 
     /// Bytes of the body that is kept.
@@ -146,25 +150,25 @@
                 *stage = to;
                 true
             }
-            State::Live(..) | State::Ended(_) => false,
+            State::Live(..) | State::Finished(_) => false,
         }
     }
 
     /// It has ended; false if it had before.
-    pub(crate) fn end(&mut self, end: End) -> bool {
+    pub(crate) fn finish(&mut self, final_record: FinalRecord) -> bool {
         let State::Live(message, _) = &self.state else { return false };
-        self.state = State::Ended(EndedMessage::new(message.clone(), end));
-        self.untold = self.holders();
+        self.state = State::Finished(FinishedMessage::new(message.clone(), final_record));
+        self.unnotified = self.possible_holders();
         true
     }
 
     /// The message has this body: what was kept of it is damaged.
-    pub(crate) fn set_message(&mut self, whole: Message) {
+    pub(crate) fn replace_message(&mut self, replacement: Message) {
         match &mut self.state {
-            State::Live(message, _) | State::Ended(EndedMessage::DeadLetter { message, .. }) => {
-                *message = whole
+            State::Live(message, _) | State::Finished(FinishedMessage::DeadLetter { message, .. }) => {
+                *message = replacement
             }
-            State::Ended(EndedMessage::Completed { .. }) => {}
+            State::Finished(FinishedMessage::Completed { .. }) => {}
         }
     }
 }
--- a/crates/queue/src/placement.rs
+++ b/crates/queue/src/placement.rs
@@ -42,15 +42,15 @@
 /// The stores whose copies count now, and what copies each message needs at them.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    present: BTreeSet<u64>,
+    available: BTreeSet<u64>,
     copies: usize,
     spread: Option<Spread>,
 }
 
 impl Placement {
     /// So many copies at these stores, wherever they stand.
-    pub fn anywhere(present: BTreeSet<u64>, copies: usize) -> Placement {
-        Placement { present, copies, spread: None }
+    pub fn anywhere(available: BTreeSet<u64>, copies: usize) -> Placement {
+        Placement { available, copies, spread: None }
     }
 
     /// The same, in as many zones and regions as may be lost and one more. `locations` are those of the stores that may be
@@ -65,18 +65,18 @@
     }
 
     /// The stores whose copies count.
-    pub fn present(&self) -> &BTreeSet<u64> {
-        &self.present
+    pub fn available(&self) -> &BTreeSet<u64> {
+        &self.available
     }
 
     /// How many copies a message needs.
-    pub fn copies(&self) -> usize {
+    pub fn required_copies(&self) -> usize {
         self.copies
     }
 
     /// How many more copies a message needs at the least that has these.
-    pub fn missing(&self, copies: &BTreeSet<u64>) -> usize {
-        let there = copies.intersection(&self.present);
+    pub fn missing_copies(&self, copies: &BTreeSet<u64>) -> usize {
+        let there = copies.intersection(&self.available);
         // Asked for each message that is owned, again and again: without a spread nothing is collected.
         let Some(spread) = &self.spread else { return self.copies.saturating_sub(there.count()) };
         let there: BTreeSet<u64> = there.copied().collect();
--- a/crates/queue/src/view/kept.rs
+++ b/crates/queue/src/state/held.rs
@@ -1,7 +1,7 @@
 //! What a queue keeps for other stores, as they ask for it.
 use super::Queue;
-use crate::ended::End;
-use crate::entry::GivenEnded;
+use crate::entry::FinishedTransfer;
+use crate::finished::FinalRecord;
 use crate::message::Message;
 use crate::replicas::Replica;
 use borsh::{BorshDeserialize, BorshSerialize};
@@ -14,20 +14,20 @@
     /// Messages that have not ended as far as it knows.
     pub live: BTreeSet<String>,
     /// Messages that have ended, with what is still owed of them.
-    pub ended: BTreeSet<String>,
+    pub finished: BTreeSet<String>,
 }
 
 impl HeldIds {
     /// As many of the first ids after one, and whether there are more.
-    pub fn after(&self, after: &str, count: usize) -> (HeldIds, bool) {
+    pub fn page_after(&self, after: &str, count: usize) -> (HeldIds, bool) {
         let rest = || (Bound::Excluded(after.to_string()), Bound::Unbounded);
         let live = self.live.range(rest()).map(|id| (id, true));
-        let ended = self.ended.range(rest()).map(|id| (id, false));
-        let mut ids: BTreeSet<(&String, bool)> = live.chain(ended).collect();
+        let finished = self.finished.range(rest()).map(|id| (id, false));
+        let mut ids: BTreeSet<(&String, bool)> = live.chain(finished).collect();
         let rest = ids.iter().nth(count).copied().map(|first| ids.split_off(&first));
         let mut piece = HeldIds::default();
         for (id, is_live) in ids {
-            let list = if is_live { &mut piece.live } else { &mut piece.ended };
+            let list = if is_live { &mut piece.live } else { &mut piece.finished };
             list.insert(id.clone());
         }
         (piece, rest.is_some())
@@ -35,31 +35,31 @@
 
     /// The last id.
     pub fn last(&self) -> Option<&String> {
-        self.live.last().max(self.ended.last())
+        self.live.last().max(self.finished.last())
     }
 }
 
 impl Queue {
     /// Keeps a message for another store.
-    pub fn keep(&mut self, owner: u64, message: Message) {
+    pub fn keep_replica(&mut self, owner: u64, message: Message) {
         match self.owned.get_mut(message.id()) {
-            Some(owned) => drop(owned.kept_for.insert(owner)),
+            Some(owned) => drop(owned.replica_owners.insert(owner)),
             None => self.replicas.keep(owner, message),
         }
     }
 
     /// Keeps a message that has ended for another store. What is owned here and has not ended is ended by the caller.
-    pub fn keep_ended(&mut self, owner: u64, given: GivenEnded) {
-        match self.owned.get_mut(given.ended.id()) {
-            Some(owned) => drop(owned.kept_for.insert(owner)),
-            None => self.replicas.keep_ended(owner, given),
+    pub fn keep_finished(&mut self, owner: u64, transfer: FinishedTransfer) {
+        match self.owned.get_mut(transfer.finished.id()) {
+            Some(owned) => drop(owned.replica_owners.insert(owner)),
+            None => self.replicas.keep_finished(owner, transfer),
         }
     }
 
     /// Nothing is kept of a message for this owner any more: what was kept for it alone goes, but for ends.
-    pub fn drop_replica_of(&mut self, owner: u64, id: &str) {
+    pub fn drop_replica(&mut self, owner: u64, id: &str) {
         if let Some(owned) = self.owned.get_mut(id) {
-            owned.kept_for.remove(&owner);
+            owned.replica_owners.remove(&owner);
         }
         self.replicas.drop_for(owner, id);
     }
@@ -80,51 +80,56 @@
     }
 
     /// What is kept of an owner's messages that have ended, by id, from the first id after one on.
-    pub fn ended_after<'a>(&'a self, owner: u64, after: &str) -> impl Iterator<Item = GivenEnded> + 'a {
-        self.replicas.ended_after(owner, after)
+    pub fn finished_after<'a>(
+        &'a self,
+        owner: u64,
+        after: &str,
+    ) -> impl Iterator<Item = FinishedTransfer> + 'a {
+        self.replicas.finished_after(owner, after)
     }
 
     /// What is kept of a message of others that has ended, and for whom.
-    pub fn ended_replica(&self, id: &str) -> Option<(&BTreeSet<u64>, GivenEnded)> {
-        self.replicas.ended(id)
+    pub fn finished_replica(&self, id: &str) -> Option<(&BTreeSet<u64>, FinishedTransfer)> {
+        self.replicas.finished(id)
     }
 
     /// The call-back about the end of a message of others is known to have been accepted.
-    pub fn is_called_back(&self, id: &str) -> bool {
-        self.replicas.is_called_back(id)
+    pub fn is_callback_done(&self, id: &str) -> bool {
+        self.replicas.is_callback_done(id)
     }
 
     /// All that is held for a store: replicas, and own messages of which there will be one once they are left to others.
     pub fn held_for(&self, owner: u64) -> HeldIds {
         let mut held = HeldIds::default();
         held.live.extend(self.replicas_of(owner).map(|replica| replica.message.id().to_string()));
-        held.ended.extend(self.ended_after(owner, "").map(|given| given.ended.id().to_string()));
-        for owned in self.owned.values().filter(|owned| owned.kept_for.contains(&owner)) {
+        held.finished
+            .extend(self.finished_after(owner, "").map(|transfer| transfer.finished.id().to_string()));
+        for owned in self.owned.values().filter(|owned| owned.replica_owners.contains(&owner)) {
             match owned.is_live() {
                 true => held.live.insert(owned.id().to_string()),
-                false => held.ended.insert(owned.id().to_string()),
+                false => held.finished.insert(owned.id().to_string()),
             };
         }
         held
     }
 
     /// Keeps the end of a message of another store, which is known from a third one.
-    pub fn keep_end(&mut self, owner: u64, end: End) {
-        if !self.owned.contains_key(&end.id) {
-            self.replicas.keep_end(owner, end);
+    pub fn keep_final_record(&mut self, owner: u64, final_record: FinalRecord) {
+        if !self.owned.contains_key(&final_record.id) {
+            self.replicas.keep_final_record(owner, final_record);
         }
     }
 
     /// Ends of another store's messages of which nothing else is kept.
-    pub fn bare_ends_of(&self, owner: u64) -> impl Iterator<Item = &End> {
-        self.replicas.bare_ends_of(owner)
+    pub fn bare_final_records_of(&self, owner: u64) -> impl Iterator<Item = &FinalRecord> {
+        self.replicas.bare_final_records_of(owner)
     }
 
     /// The call-back about an end was accepted.
-    pub fn called_back(&mut self, id: &str) {
+    pub fn mark_callback_done(&mut self, id: &str) {
         match self.owned.get_mut(id) {
-            Some(owned) => owned.owes_callback = false,
-            None => self.replicas.called_back(id),
+            Some(owned) => owned.callback_pending = false,
+            None => self.replicas.mark_callback_done(id),
         }
     }
 }
--- a/crates/queue/src/view/mod.rs
+++ b/crates/queue/src/state/mod.rs
@@ -1,8 +1,8 @@
 //! The view of all messages that is folded from the records.
-mod kept;
+mod held;
 
-use crate::ended::{End, EndedMessage};
-use crate::entry::{Entry, GivenEnded};
+use crate::entry::{Entry, FinishedTransfer};
+use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::{Envelope, Message};
 use crate::operations::Operations;
 use crate::owned::{OwnedMessage, Stage};
@@ -11,7 +11,7 @@
 use crate::WallMs;
 use std::collections::BTreeSet;
 
-pub use kept::HeldIds;
+pub use held::HeldIds;
 
 /// How many messages a store has, by what becomes of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Waiting, or not on enough disks yet.
     pub waiting: usize,
     pub running: usize,
-    pub ended: usize,
+    pub finished: usize,
     /// Kept for other stores.
     pub replicas: usize,
 }
@@ -30,7 +30,7 @@
     disk: u64,
     owned: Messages,
     /// Bytes of the bodies of owned messages.
-    bytes: usize,
+    owned_bytes: usize,
     schedule: Schedule,
     operations: Operations,
     replicas: Replicas,
@@ -39,7 +39,7 @@
     /// Disks of lost stores that this one has taken over from.
     taken_over: BTreeSet<u64>,
     /// Messages that were left to others, as read from the disk.
-    left: BTreeSet<String>,
+    relinquished: BTreeSet<String>,
 }
 
 impl Queue {
@@ -50,32 +50,34 @@
 
     /// Folds one record that was read from the disk at a start. Every message that is there counts as taken: whoever
     /// handed it in may have been told so.
-    pub fn recover(&mut self, entry: Entry) {
+    pub fn replay(&mut self, entry: Entry) {
         match entry {
             Entry::Disk(disk) => self.disk = disk,
-            Entry::Message { owner, message } if owner == self.disk => self.recover_own(message),
-            Entry::Message { owner, message } => self.keep(owner, message),
-            Entry::EndedMessage { owner, given } if owner == self.disk => drop(self.adopt_ended(given)),
-            Entry::EndedMessage { owner, given } => self.keep_ended(owner, given),
-            Entry::Failed { id, attempts } => self.note_attempts(&id, attempts),
-            Entry::Ended(end) => drop(self.end(end)),
-            Entry::CalledBack { id } => self.called_back(&id),
+            Entry::Message { owner, message } if owner == self.disk => self.replay_owned(message),
+            Entry::Message { owner, message } => self.keep_replica(owner, message),
+            Entry::FinishedMessage { owner, transfer } if owner == self.disk => {
+                self.adopt_finished(transfer);
+            }
+            Entry::FinishedMessage { owner, transfer } => self.keep_finished(owner, transfer),
+            Entry::AttemptFailed { id, attempts } => self.record_attempts(&id, attempts),
+            Entry::Finished(final_record) => drop(self.finish(final_record)),
+            Entry::CallbackDone { id } => self.mark_callback_done(&id),
             Entry::Dropped { owner, id } if owner == self.disk => {
-                self.leave(&id);
-                self.left.insert(id);
+                self.relinquish(&id);
+                self.relinquished.insert(id);
             }
-            Entry::Dropped { owner, id } => self.drop_replica_of(owner, &id),
+            Entry::Dropped { owner, id } => self.drop_replica(owner, &id),
             Entry::Fenced { disk } => self.fence(disk),
-            Entry::TakenOver { disk } => self.has_taken_over(disk),
+            Entry::TakenOver { disk } => self.mark_taken_over(disk),
         }
     }
 
-    fn recover_own(&mut self, message: Message) {
-        match self.replicas.end_of(message.id()) {
-            Some(end) => {
-                let called_back = message.envelope.callback.is_none();
-                let ended = EndedMessage::new(message, end);
-                self.adopt_ended(GivenEnded { ended, called_back });
+    fn replay_owned(&mut self, message: Message) {
+        match self.replicas.final_record_of(message.id()) {
+            Some(final_record) => {
+                let callback_done = message.envelope.callback.is_none();
+                let finished = FinishedMessage::new(message, final_record);
+                self.adopt_finished(FinishedTransfer { finished, callback_done });
             }
             None => drop(self.add(message)),
         }
@@ -83,20 +85,20 @@
 
     /// After all records were folded: what is owned here may run. What other stores were given before is told: it may
     /// run once these leave it to this one.
-    pub fn recovered(&mut self) -> Vec<Message> {
-        let copying = self.owned.values().filter(|owned| owned.stage() == Some(Stage::Copying));
-        let (raced, mut own): (Vec<Message>, Vec<Message>) = copying
+    pub fn finish_recovery(&mut self) -> Vec<Message> {
+        let replicating = self.owned.values().filter(|owned| owned.stage() == Some(Stage::Replicating));
+        let (contested, mut uncontested): (Vec<Message>, Vec<Message>) = replicating
             .filter_map(OwnedMessage::live_message)
             .cloned()
-            .partition(|message| !message.envelope.also_at.is_empty());
-        own.sort_by_key(|message| message.envelope.order);
-        own.iter().for_each(|message| self.accept(message.id()));
-        raced
+            .partition(|message| !message.envelope.also_sent_to.is_empty());
+        uncontested.sort_by_key(|message| message.envelope.sequence);
+        uncontested.iter().for_each(|message| self.mark_replicated(message.id()));
+        contested
     }
 
     /// The highest place that an owned message has.
-    pub fn highest_order(&self) -> u64 {
-        self.owned.values().map(|owned| owned.envelope().order).max().unwrap_or(0)
+    pub fn highest_sequence(&self) -> u64 {
+        self.owned.values().map(|owned| owned.envelope().sequence).max().unwrap_or(0)
     }
 
     /// The identity of the disk.
@@ -107,18 +109,18 @@
     /// Takes a message to own it; it doesn't run before [`Queue::accept`]. False if it is known already.
     pub fn add(&mut self, message: Message) -> bool {
         let id = message.id().to_string();
-        if self.owned.contains_key(&id) || self.replicas.has_ended(&id) {
+        if self.owned.contains_key(&id) || self.replicas.is_finished(&id) {
             return false;
         }
-        let kept_for = self.replicas.remove(&id);
-        self.insert(id, OwnedMessage::live(message, kept_for));
+        let replica_owners = self.replicas.remove(&id);
+        self.insert(id, OwnedMessage::live(message, replica_owners));
         true
     }
 
     fn insert(&mut self, id: String, owned: OwnedMessage) {
-        self.bytes += owned.body_bytes();
-        let rival = self.rival(owned.envelope());
-        if rival.is_none_or(|rival| rival.precedence() < owned.precedence()) {
+        self.owned_bytes += owned.body_bytes();
+        let duplicate = self.duplicate_of(owned.envelope());
+        if duplicate.is_none_or(|duplicate| duplicate.precedence() < owned.precedence()) {
             self.operations.set(owned.envelope());
         }
         self.owned.insert(id, owned);
@@ -128,7 +130,7 @@
         &self.operations
     }
 
-    /// Finds the message that stays of each operation anew: which one it is may have changed with every record.
+    /// Finds the message that is_kept of each operation anew: which one it is may have changed with every record.
     pub(crate) fn index_operations(&mut self) {
         let mut by_precedence: Vec<&OwnedMessage> = self.owned.values().collect();
         by_precedence.sort_by_key(|owned| owned.precedence());
@@ -138,9 +140,10 @@
     }
 
     /// A message is on enough disks: it may run, behind those of its key.
-    pub fn accept(&mut self, id: &str) {
-        let accepted = self.owned.get_mut(id).is_some_and(|o| o.advance(Stage::Copying, Stage::Waiting));
-        if accepted {
+    pub fn mark_replicated(&mut self, id: &str) {
+        let replicated =
+            self.owned.get_mut(id).is_some_and(|o| o.advance(Stage::Replicating, Stage::Waiting));
+        if replicated {
             self.schedule.add(&mut self.owned, id);
         }
     }
@@ -168,7 +171,7 @@
 
     /// A message goes to an endpoint.
     pub fn start(&mut self, id: &str) -> Option<Message> {
-        self.schedule.unready(&mut self.owned, id);
+        self.schedule.unschedule(&mut self.owned, id);
         let owned = self.owned.get_mut(id)?;
         let started = owned.advance(Stage::Waiting, Stage::Running);
         owned.live_message().filter(|_| started).cloned()
@@ -182,11 +185,11 @@
         }
         owned.attempts = owned.attempts.max(attempts);
         owned.not_before = not_before;
-        self.schedule.make_ready(&mut self.owned, id);
+        self.schedule.schedule_at_due(&mut self.owned, id);
     }
 
     /// So many attempts of a message, or of a replica, have failed.
-    pub fn note_attempts(&mut self, id: &str, attempts: u32) {
+    pub fn record_attempts(&mut self, id: &str, attempts: u32) {
         if let Some(owned) = self.owned.get_mut(id) {
             owned.attempts = owned.attempts.max(attempts);
         } else if let Some(replica) = self.replicas.live_mut(id) {
@@ -195,14 +198,14 @@
     }
 
     /// A message has ended. False if it had already, or isn't known.
-    pub fn end(&mut self, end: End) -> bool {
-        let id = end.id.clone();
-        let Some(owned) = self.owned.get_mut(&id) else { return self.replicas.end(end) };
+    pub fn finish(&mut self, final_record: FinalRecord) -> bool {
+        let id = final_record.id.clone();
+        let Some(owned) = self.owned.get_mut(&id) else { return self.replicas.finish(final_record) };
         let before = owned.body_bytes();
-        if !owned.end(end) {
+        if !owned.finish(final_record) {
             return false;
         }
-        self.bytes = self.bytes + owned.body_bytes() - before;
+        self.owned_bytes = self.owned_bytes + owned.body_bytes() - before;
         let envelope = owned.envelope().clone();
         self.schedule.remove(&mut self.owned, &envelope);
         true
@@ -210,48 +213,48 @@
 
     /// Owns a message that has ended, in the place of the store that did: what is still owed of it is owed here. False if
     /// it has ended here already, or nothing is owed of it.
-    pub fn adopt_ended(&mut self, given: GivenEnded) -> bool {
-        let id = given.ended.id().to_string();
-        let called_back = given.called_back || self.replicas.is_called_back(&id);
+    pub fn adopt_finished(&mut self, transfer: FinishedTransfer) -> bool {
+        let id = transfer.finished.id().to_string();
+        let callback_done = transfer.callback_done || self.replicas.is_callback_done(&id);
         if self.owned.contains_key(&id) {
-            let ends = self.end(given.ended.end());
-            if ends && called_back {
-                self.called_back(&id);
+            let newly_finished = self.finish(transfer.finished.final_record());
+            if newly_finished && callback_done {
+                self.mark_callback_done(&id);
             }
-            return ends;
+            return newly_finished;
         }
-        let owes_nothing = called_back && !given.ended.is_owed();
-        if owes_nothing {
+        let nothing_pending = callback_done && !transfer.finished.must_be_retained();
+        if nothing_pending {
             return false;
         }
-        let kept_for = self.replicas.remove(&id);
-        self.insert(id, OwnedMessage::ended(given.ended, !called_back, kept_for));
+        let replica_owners = self.replicas.remove(&id);
+        self.insert(id, OwnedMessage::finished(transfer.finished, !callback_done, replica_owners));
         true
     }
 
     /// Leaves a message that hasn't begun to another store, and keeps a replica for those that count on one here; false if
     /// it has begun, or isn't owned here.
-    pub fn leave(&mut self, id: &str) -> bool {
+    pub fn relinquish(&mut self, id: &str) -> bool {
         let stage = self.owned.get(id).and_then(OwnedMessage::stage);
-        if !matches!(stage, Some(Stage::Copying | Stage::Waiting)) {
+        if !matches!(stage, Some(Stage::Replicating | Stage::Waiting)) {
             return false;
         }
-        self.schedule.unready(&mut self.owned, id);
+        self.schedule.unschedule(&mut self.owned, id);
         let Some(owned) = self.owned.remove(id) else { return false };
-        self.bytes -= owned.body_bytes();
+        self.owned_bytes -= owned.body_bytes();
         self.schedule.remove(&mut self.owned, owned.envelope());
         self.operations.remove(owned.envelope());
         if let Some(message) = owned.live_message() {
-            owned.kept_for.iter().for_each(|owner| self.keep(*owner, message.clone()));
+            owned.replica_owners.iter().for_each(|owner| self.keep_replica(*owner, message.clone()));
         }
         true
     }
 
     /// Messages that are safe here, and that were given to a store before without a clear answer.
-    pub fn taken_from(&self, disk: u64) -> Vec<String> {
-        let safe = self.owned.values().filter(|owned| owned.stage() != Some(Stage::Copying));
-        let taken = safe.filter(|owned| owned.envelope().also_at.contains(&disk));
-        taken.map(|owned| owned.id().to_string()).collect()
+    pub fn accepted_also_sent_to(&self, disk: u64) -> Vec<String> {
+        let accepted = self.owned.values().filter(|owned| owned.stage() != Some(Stage::Replicating));
+        let also_sent = accepted.filter(|owned| owned.envelope().also_sent_to.contains(&disk));
+        also_sent.map(|owned| owned.id().to_string()).collect()
     }
 
     /// A message that is owned here.
@@ -274,78 +277,78 @@
     pub fn replace_damaged(&mut self, message: Message) {
         if let Some(owned) = self.owned.get_mut(message.id()) {
             let before = owned.body_bytes();
-            owned.set_message(message);
-            self.bytes = self.bytes + owned.body_bytes() - before;
+            owned.replace_message(message);
+            self.owned_bytes = self.owned_bytes + owned.body_bytes() - before;
         }
     }
 
     /// A replica of a message is about to be sent to a disk. False if none may go out any more: the message has ended, or
     /// isn't owned here. Whoever is sent one is told of the end later, so a replica that goes out after the end would be
     /// one whose holder never hears of it.
-    pub fn send_copy(&mut self, id: &str, disk: u64) -> bool {
+    pub fn begin_copy(&mut self, id: &str, disk: u64) -> bool {
         let Some(owned) = self.owned.get_mut(id).filter(|owned| owned.is_live()) else { return false };
-        owned.sent.insert(disk);
+        owned.sent_to.insert(disk);
         true
     }
 
     /// A message that has ended is about to be sent to a disk together with its end. False if it isn't owned here.
-    pub fn send_ended(&mut self, id: &str, disk: u64) -> bool {
+    pub fn begin_finished_copy(&mut self, id: &str, disk: u64) -> bool {
         let Some(owned) = self.owned.get_mut(id).filter(|owned| !owned.is_live()) else { return false };
-        owned.sent.insert(disk);
+        owned.sent_to.insert(disk);
         true
     }
 
     /// A disk has a replica of a message.
-    pub fn copy_kept(&mut self, id: &str, disk: u64) {
+    pub fn confirm_copy(&mut self, id: &str, disk: u64) {
         if let Some(owned) = self.owned.get_mut(id) {
-            owned.copies.insert(disk);
-            owned.sent.insert(disk);
+            owned.confirmed_holders.insert(disk);
+            owned.sent_to.insert(disk);
         }
     }
 
     /// Replicas of a message count only at these disks.
-    pub fn keep_copies_at(&mut self, id: &str, counts: impl Fn(&u64) -> bool) {
+    pub fn retain_copies(&mut self, id: &str, is_valid: impl Fn(&u64) -> bool) {
         if let Some(owned) = self.owned.get_mut(id) {
-            owned.copies.retain(counts);
+            owned.confirmed_holders.retain(is_valid);
         }
     }
 
     /// A disk holds only these of what is owned here: it has no replica of others, and needn't be told of their ends.
-    pub fn not_held(&mut self, disk: u64, held: &HeldIds) {
-        let is_held = |id: &str| held.live.contains(id) || held.ended.contains(id);
+    pub fn remove_unheld(&mut self, disk: u64, held: &HeldIds) {
+        let is_held = |id: &str| held.live.contains(id) || held.finished.contains(id);
         for owned in self.owned.values_mut().filter(|owned| !is_held(owned.id())) {
-            owned.copies.remove(&disk);
-            owned.untold.remove(&disk);
+            owned.confirmed_holders.remove(&disk);
+            owned.unnotified.remove(&disk);
         }
     }
 
     /// A disk has been told of the ends of these messages.
-    pub fn told(&mut self, disk: u64, ids: &[String]) {
+    pub fn mark_notified(&mut self, disk: u64, ids: &[String]) {
         for id in ids {
             if let Some(owned) = self.owned.get_mut(id) {
-                owned.untold.remove(&disk);
+                owned.unnotified.remove(&disk);
             }
         }
     }
 
     /// Messages that were left to other stores before this process started, as far as the log tells.
-    pub fn take_left(&mut self) -> BTreeSet<String> {
-        std::mem::take(&mut self.left)
+    pub fn take_relinquished(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.relinquished)
     }
 
     /// Whether a message is known here to have ended, whoever owns it.
-    pub fn has_ended(&self, id: &str) -> bool {
+    pub fn is_finished(&self, id: &str) -> bool {
         match self.owned.get(id) {
             Some(owned) => !owned.is_live(),
-            None => self.replicas.has_ended(id),
+            None => self.replicas.is_finished(id),
         }
     }
 
     /// The end of a message, whoever owns it.
-    pub fn end_of(&self, id: &str) -> Option<End> {
+    pub fn final_record_of(&self, id: &str) -> Option<FinalRecord> {
         match self.owned.get(id) {
-            Some(owned) => Some(owned.ended_message()?.end()),
-            None => self.replicas.end_of(id),
+            Some(owned) => Some(owned.finished_message()?.final_record()),
+            None => self.replicas.final_record_of(id),
         }
     }
 
@@ -355,7 +358,7 @@
     }
 
     /// All that a lost store owned is here.
-    pub fn has_taken_over(&mut self, disk: u64) {
+    pub fn mark_taken_over(&mut self, disk: u64) {
         self.taken_over.insert(disk);
     }
 
@@ -370,13 +373,13 @@
     }
 
     /// Bytes of the bodies that are held.
-    pub fn bytes(&self) -> usize {
-        self.bytes + self.replicas.bytes()
+    pub fn body_bytes(&self) -> usize {
+        self.owned_bytes + self.replicas.bytes()
     }
 
     /// When the oldest message was taken that has not ended.
-    pub fn oldest(&self) -> Option<WallMs> {
-        self.owned.values().filter(|owned| owned.is_live()).map(|owned| owned.envelope().taken_at).min()
+    pub fn oldest_received_at(&self) -> Option<WallMs> {
+        self.owned.values().filter(|owned| owned.is_live()).map(|owned| owned.envelope().received_at).min()
     }
 
     /// How many messages there are.
@@ -384,33 +387,37 @@
         let mut counts = Counts { replicas: self.replicas.live_count(), ..Counts::default() };
         for owned in self.owned.values() {
             match owned.stage() {
-                Some(Stage::Copying | Stage::Waiting) => counts.waiting += 1,
+                Some(Stage::Replicating | Stage::Waiting) => counts.waiting += 1,
                 Some(Stage::Running) => counts.running += 1,
-                None => counts.ended += 1,
+                None => counts.finished += 1,
             }
         }
         counts
     }
 
     /// Messages that have not ended and whose route or time is over.
-    pub fn over(&self, now: WallMs, route_there: impl Fn(&Envelope) -> bool) -> Vec<String> {
+    pub fn expired_or_unroutable(
+        &self,
+        now: WallMs,
+        route_exists: impl Fn(&Envelope) -> bool,
+    ) -> Vec<String> {
         let live = self.owned.values().filter(|owned| owned.is_live());
-        let over = live.filter(|o| now >= o.envelope().expires_at || !route_there(o.envelope()));
-        over.map(|owned| owned.id().to_string()).collect()
+        let ending = live.filter(|o| now >= o.envelope().expires_at || !route_exists(o.envelope()));
+        ending.map(|owned| owned.id().to_string()).collect()
     }
 
     /// Forgets ends older than a time, where nobody waits to be told of them.
-    pub fn forget(&mut self, before: WallMs) {
-        self.replicas.forget(before);
-        let (bytes, operations) = (&mut self.bytes, &mut self.operations);
+    pub fn discard_finished(&mut self, before: WallMs) {
+        self.replicas.discard_finished(before);
+        let (bytes, operations) = (&mut self.owned_bytes, &mut self.operations);
         self.owned.retain(|_, owned| {
-            let Some(ended) = owned.ended_message() else { return true };
-            let stays = ended.at() >= before || owned.owes_callback || !owned.untold.is_empty();
-            if !stays {
+            let Some(finished) = owned.finished_message() else { return true };
+            let is_kept = finished.at() >= before || owned.callback_pending || !owned.unnotified.is_empty();
+            if !is_kept {
                 *bytes -= owned.body_bytes();
                 operations.remove(owned.envelope());
             }
-            stays
+            is_kept
         });
     }
 }
--- a/crates/queue/tests/placement.rs
+++ b/crates/queue/tests/placement.rs
@@ -45,12 +45,12 @@
     };
     let mut copies = BTreeSet::new();
     loop {
-        let missing = placement.missing(&copies);
+        let missing = placement.missing_copies(&copies);
         if missing == 0 {
             return copies;
         }
-        let left = by_distance(stores).into_iter().filter(|disk| !copies.contains(disk)).collect();
-        let chosen = placement.choose(left, |disk| *disk, &copies, missing);
+        let released = by_distance(stores).into_iter().filter(|disk| !copies.contains(disk)).collect();
+        let chosen = placement.choose(released, |disk| *disk, &copies, missing);
         assert!(!chosen.is_empty(), "{copies:?} of {stores:?}");
         copies.extend(chosen);
     }
@@ -140,7 +140,7 @@
     let (east, west) = (at("a", "east"), at("b", "west"));
     let tolerance = Tolerance { machines: 1, zones: 0, regions: 1 };
     assert_eq!(tolerance.unmet(&[&east, &west]), None);
-    let told = tolerance.unmet(&[&east, &east]).unwrap();
-    assert_eq!(told, "stores in 2 regions are needed, there are 1: add some");
+    let mark_notified = tolerance.unmet(&[&east, &east]).unwrap();
+    assert_eq!(mark_notified, "stores in 2 regions are needed, there are 1: add some");
     assert!(tolerance.unmet(&[&east]).unwrap().contains("2 machines"));
 }
--- a/crates/queue/tests/queue.rs
+++ b/crates/queue/tests/queue.rs
@@ -1,8 +1,8 @@
 //! The queue of a store: what runs next, what ends, and that a restart finds what the process knew.
-use queue::custody;
+use queue::replication;
 use queue::{
-    Counts, End, EndedMessage, Entry, Envelope, GivenEnded, HeldIds, Message, Outcome, Placement, Queue,
-    Stage,
+    Counts, Entry, Envelope, FinalRecord, FinishedMessage, FinishedTransfer, HeldIds, Message, Outcome,
+    Placement, Queue, Stage,
 };
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
         id: id.to_string(),
         route: "r".to_string(),
         due_at: 1_000,
-        taken_at: 1_000,
-        aim_ms: 500,
+        received_at: 1_000,
+        target_start_ms: 500,
         expires_at: 100_000,
         ..Envelope::default()
     }
@@ -29,12 +29,12 @@
     Message::new(envelope, BODY.to_vec())
 }
 
-fn ordered_envelope(id: &str, key: &str, order: u64) -> Envelope {
-    Envelope { key: Some(key.to_string()), ordered: true, order, ..envelope(id) }
+fn ordered_envelope(id: &str, key: &str, sequence: u64) -> Envelope {
+    Envelope { key: Some(key.to_string()), ordered: true, sequence, ..envelope(id) }
 }
 
-fn ordered(id: &str, key: &str, order: u64) -> Message {
-    with_body(ordered_envelope(id, key, order))
+fn ordered(id: &str, key: &str, sequence: u64) -> Message {
+    with_body(ordered_envelope(id, key, sequence))
 }
 
 fn with_callback(id: &str) -> Message {
@@ -44,24 +44,24 @@
 fn take(queue: &mut Queue, message: Message) {
     let id = message.id().to_string();
     assert!(queue.add(message));
-    queue.accept(&id);
+    queue.mark_replicated(&id);
 }
 
 fn next(queue: &mut Queue, now: u64) -> Option<String> {
     queue.next("r", now, |_| true)
 }
 
-fn end(id: &str) -> End {
-    End { id: id.to_string(), outcome: Outcome::Completed { signature: "s".to_string() }, at: 2_000 }
+fn completed(id: &str) -> FinalRecord {
+    FinalRecord { id: id.to_string(), outcome: Outcome::Completed { signature: "s".to_string() }, at: 2_000 }
 }
 
-fn dead(id: &str) -> End {
-    End { outcome: Outcome::DeadLetter, ..end(id) }
+fn dead_lettered(id: &str) -> FinalRecord {
+    FinalRecord { outcome: Outcome::DeadLetter, ..completed(id) }
 }
 
-fn given_ended(message: Message, end: End) -> GivenEnded {
-    let called_back = message.envelope.callback.is_none();
-    GivenEnded { ended: EndedMessage::new(message, end), called_back }
+fn finished_transfer(message: Message, final_record: FinalRecord) -> FinishedTransfer {
+    let callback_done = message.envelope.callback.is_none();
+    FinishedTransfer { finished: FinishedMessage::new(message, final_record), callback_done }
 }
 
 /// The bytes that a queue has of a message, if it has them.
@@ -74,7 +74,7 @@
     let mut queue = Queue::new(DISK);
     assert!(queue.add(message("a")));
     assert_eq!(next(&mut queue, 5_000), None, "not on a second disk yet");
-    queue.accept("a");
+    queue.mark_replicated("a");
     assert_eq!(next(&mut queue, 999), None);
     assert_eq!(queue.next_due(), Some(1_000));
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("a"));
@@ -98,7 +98,7 @@
     assert_eq!(next(&mut queue, 1_100), None, "the one before has not ended");
     assert_eq!(next(&mut queue, 1_200).as_deref(), Some("a"));
     queue.start("a");
-    assert!(queue.end(end("a")));
+    assert!(queue.finish(completed("a")));
     assert_eq!(next(&mut queue, 1_300).as_deref(), Some("b"));
 }
 
@@ -111,7 +111,7 @@
     for expected in ["older", "old", "new"] {
         assert_eq!(next(&mut queue, 1_000).as_deref(), Some(expected));
         queue.start(expected);
-        queue.end(end(expected));
+        queue.finish(completed(expected));
     }
 }
 
@@ -122,7 +122,7 @@
     queue.start("b");
     take(&mut queue, ordered("a", "k", 1));
     assert_eq!(next(&mut queue, 1_000), None);
-    queue.end(end("b"));
+    queue.finish(completed("b"));
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("a"));
 }
 
@@ -139,8 +139,8 @@
 #[test]
 fn a_line_with_fewer_late_ones_before_a_fresh_one_goes_first() {
     let mut queue = Queue::new(DISK);
-    for (order, id) in [(1, "a1"), (2, "a2")] {
-        take(&mut queue, ordered(id, "a", order));
+    for (sequence, id) in [(1, "a1"), (2, "a2")] {
+        take(&mut queue, ordered(id, "a", sequence));
     }
     take(&mut queue, ordered("b1", "b", 3));
     take(&mut queue, with_body(Envelope { due_at: 3_000, ..ordered_envelope("a3", "a", 4) }));
@@ -162,12 +162,12 @@
     let mut queue = Queue::new(DISK);
     take(&mut queue, message("a"));
     queue.start("a");
-    assert!(queue.end(end("a")));
-    assert!(!queue.end(dead("a")));
+    assert!(queue.finish(completed("a")));
+    assert!(!queue.finish(dead_lettered("a")));
     queue.retry("a", 0, 0);
     assert_eq!(next(&mut queue, 5_000), None);
     assert!(!queue.add(message("a")), "the same id isn't taken again");
-    assert_eq!(queue.end_of("a"), Some(end("a")));
+    assert_eq!(queue.final_record_of("a"), Some(completed("a")));
 }
 
 #[test]
@@ -176,30 +176,30 @@
     take(&mut queue, message("a"));
     take(&mut queue, message("b"));
     queue.start("b");
-    assert!(queue.leave("a"));
-    assert!(!queue.leave("b"));
+    assert!(queue.relinquish("a"));
+    assert!(!queue.relinquish("b"));
     assert_eq!(next(&mut queue, 1_000), None);
     assert!(queue.owned("a").is_none());
-    assert_eq!(queue.bytes(), 10);
+    assert_eq!(queue.body_bytes(), 10);
 }
 
 #[test]
 fn only_what_is_safe_here_is_told_as_taken_from_another() {
     let mut queue = Queue::new(DISK);
-    queue.add(with_body(Envelope { also_at: vec![9], ..envelope("a") }));
-    assert!(queue.taken_from(9).is_empty());
-    queue.accept("a");
-    assert_eq!(queue.taken_from(9), ["a"]);
+    queue.add(with_body(Envelope { also_sent_to: vec![9], ..envelope("a") }));
+    assert!(queue.accepted_also_sent_to(9).is_empty());
+    queue.mark_replicated("a");
+    assert_eq!(queue.accepted_also_sent_to(9), ["a"]);
 }
 
 #[test]
 fn a_copy_that_was_given_to_a_new_owner_isnt_dropped_for_the_old_one() {
     let mut queue = Queue::new(DISK);
-    queue.keep(2, message("a"));
-    queue.keep(3, message("a"));
-    queue.drop_replica_of(2, "a");
+    queue.keep_replica(2, message("a"));
+    queue.keep_replica(3, message("a"));
+    queue.drop_replica(2, "a");
     assert_eq!(queue.replicas_of(3).count(), 1);
-    assert_eq!(queue.bytes(), 10);
+    assert_eq!(queue.body_bytes(), 10);
 }
 
 #[test]
@@ -208,11 +208,11 @@
     take(&mut queue, with_callback("owes"));
     take(&mut queue, message("told"));
     take(&mut queue, message("untold"));
-    queue.copy_kept("untold", 5);
+    queue.confirm_copy("untold", 5);
     for id in ["owes", "told", "untold"] {
-        queue.end(end(id));
+        queue.finish(completed(id));
     }
-    queue.forget(2_001);
+    queue.discard_finished(2_001);
     assert!(queue.owned("told").is_none());
     assert!(queue.owned("owes").is_some() && queue.owned("untold").is_some());
 }
@@ -228,32 +228,32 @@
         take(&mut live, message);
     }
     records.push(Entry::Message { owner: 2, message: message("copy") });
-    live.keep(2, message("copy"));
+    live.keep_replica(2, message("copy"));
     live.start("a");
-    records.push(Entry::Failed { id: "a".to_string(), attempts: 1 });
+    records.push(Entry::AttemptFailed { id: "a".to_string(), attempts: 1 });
     live.retry("a", 1, 0);
     live.start("a");
-    records.push(Entry::Ended(end("a")));
-    live.end(end("a"));
+    records.push(Entry::Finished(completed("a")));
+    live.finish(completed("a"));
     records.push(Entry::Dropped { owner: DISK, id: "d".to_string() });
-    live.leave("d");
+    live.relinquish("d");
     let mut restarted = Queue::default();
-    records.into_iter().for_each(|record| restarted.recover(record));
-    restarted.recovered();
+    records.into_iter().for_each(|record| restarted.replay(record));
+    restarted.finish_recovery();
     assert_eq!(restarted.disk(), DISK);
     assert_eq!(restarted.counts(), live.counts());
     assert_eq!(next(&mut restarted, 1_000), next(&mut live, 1_000));
-    assert_eq!(restarted.end_of("a"), live.end_of("a"));
+    assert_eq!(restarted.final_record_of("a"), live.final_record_of("a"));
     assert_eq!(restarted.replicas_of(2).count(), 1);
-    assert_eq!(restarted.bytes(), live.bytes());
+    assert_eq!(restarted.body_bytes(), live.body_bytes());
 }
 
 #[test]
 fn a_recovered_message_counts_as_taken() {
     let mut queue = Queue::default();
-    queue.recover(Entry::Disk(DISK));
-    queue.recover(Entry::Message { owner: DISK, message: message("a") });
-    queue.recovered();
+    queue.replay(Entry::Disk(DISK));
+    queue.replay(Entry::Message { owner: DISK, message: message("a") });
+    queue.finish_recovery();
     assert_eq!(queue.owned("a").unwrap().stage(), Some(Stage::Waiting));
 }
 
@@ -261,18 +261,18 @@
 #[test]
 fn a_recovered_message_that_another_store_was_given_waits_until_that_one_leaves_it() {
     let mut queue = Queue::default();
-    queue.recover(Entry::Disk(DISK));
-    let raced = with_body(Envelope { also_at: vec![9], ..envelope("raced") });
-    queue.recover(Entry::Message { owner: DISK, message: raced });
-    queue.recover(Entry::Message { owner: DISK, message: message("own") });
-    let raced = queue.recovered();
+    queue.replay(Entry::Disk(DISK));
+    let raced = with_body(Envelope { also_sent_to: vec![9], ..envelope("raced") });
+    queue.replay(Entry::Message { owner: DISK, message: raced });
+    queue.replay(Entry::Message { owner: DISK, message: message("own") });
+    let raced = queue.finish_recovery();
     assert_eq!(raced.iter().map(Message::id).collect::<Vec<_>>(), ["raced"]);
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("own"));
     queue.start("own");
     assert_eq!(next(&mut queue, 1_000), None);
-    queue.accept("raced");
+    queue.mark_replicated("raced");
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("raced"));
-    assert_eq!(queue.taken_from(9), ["raced"]);
+    assert_eq!(queue.accepted_also_sent_to(9), ["raced"]);
 }
 
 /// A store that was to retire waited for ever: who had been told of an end after a reconnection was not noted.
@@ -280,12 +280,12 @@
 fn once_all_holders_were_told_of_an_end_nobody_is_waited_for() {
     let mut queue = Queue::new(DISK);
     take(&mut queue, message("a"));
-    [5, 6].into_iter().for_each(|disk| assert!(queue.send_copy("a", disk)));
-    queue.end(end("a"));
-    queue.told(5, &["a".to_string(), "unknown".to_string()]);
-    assert_eq!(queue.owned("a").unwrap().untold.iter().copied().collect::<Vec<_>>(), [6]);
-    queue.told(6, &["a".to_string()]);
-    queue.forget(2_001);
+    [5, 6].into_iter().for_each(|disk| assert!(queue.begin_copy("a", disk)));
+    queue.finish(completed("a"));
+    queue.mark_notified(5, &["a".to_string(), "unknown".to_string()]);
+    assert_eq!(queue.owned("a").unwrap().unnotified.iter().copied().collect::<Vec<_>>(), [6]);
+    queue.mark_notified(6, &["a".to_string()]);
+    queue.discard_finished(2_001);
     assert!(queue.owned("a").is_none());
 }
 
@@ -293,12 +293,12 @@
 #[test]
 fn a_fence_outlasts_a_restart() {
     let mut queue = Queue::new(DISK);
-    queue.recover(Entry::Disk(DISK));
-    queue.recover(Entry::Message { owner: 9, message: message("kept before") });
-    queue.recover(Entry::Fenced { disk: 9 });
+    queue.replay(Entry::Disk(DISK));
+    queue.replay(Entry::Message { owner: 9, message: message("kept before") });
+    queue.replay(Entry::Fenced { disk: 9 });
     assert!(queue.fenced().contains(&9));
     // What was written before the fence, or anew by the ring's care, is still there for the heir.
-    queue.recover(Entry::Message { owner: 9, message: message("written anew") });
+    queue.replay(Entry::Message { owner: 9, message: message("written anew") });
     assert_eq!(queue.replicas_of(9).count(), 2);
 }
 
@@ -306,9 +306,9 @@
 fn copies_are_told_piece_by_piece_in_the_order_of_their_ids() {
     let mut queue = Queue::new(DISK);
     for id in ["c", "a", "d", "b", "e"] {
-        queue.keep(9, message(id));
+        queue.keep_replica(9, message(id));
     }
-    queue.keep(8, message("bb"));
+    queue.keep_replica(8, message("bb"));
     let ids = |after: &str| {
         let after = queue.replicas_after(9, after).take(2).map(|replica| replica.message.id().to_string());
         after.collect::<Vec<_>>()
@@ -322,28 +322,29 @@
 #[test]
 fn the_ends_of_an_owners_messages_are_known_with_it() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, message("a"));
-    queue.keep(8, message("b"));
-    queue.end(end("a"));
-    queue.end(end("b"));
-    queue.keep_end(9, end("from a third store"));
-    let mut ids: Vec<_> = queue.bare_ends_of(9).map(|end| end.id.clone()).collect();
+    queue.keep_replica(9, message("a"));
+    queue.keep_replica(8, message("b"));
+    queue.finish(completed("a"));
+    queue.finish(completed("b"));
+    queue.keep_final_record(9, completed("from a third store"));
+    let mut ids: Vec<_> =
+        queue.bare_final_records_of(9).map(|final_record| final_record.id.clone()).collect();
     ids.sort();
     assert_eq!(ids, ["a", "from a third store"]);
-    queue.forget(3_000);
-    assert_eq!(queue.bare_ends_of(9).count(), 0);
+    queue.discard_finished(3_000);
+    assert_eq!(queue.bare_final_records_of(9).count(), 0);
 }
 
 /// An end that a third store tells ends a copy here, and nothing that is owned here.
 #[test]
 fn an_end_from_a_third_store_is_for_copies_alone() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, message("copy"));
+    queue.keep_replica(9, message("copy"));
     take(&mut queue, message("own"));
-    queue.keep_end(9, end("copy"));
-    queue.keep_end(9, end("own"));
-    assert!(queue.replica("copy").is_none() && queue.end_of("copy").is_some());
-    assert!(queue.end_of("own").is_none());
+    queue.keep_final_record(9, completed("copy"));
+    queue.keep_final_record(9, completed("own"));
+    assert!(queue.replica("copy").is_none() && queue.final_record_of("copy").is_some());
+    assert!(queue.final_record_of("own").is_none());
     assert_eq!(next(&mut queue, 5_000).as_deref(), Some("own"));
 }
 
@@ -352,11 +353,11 @@
 fn no_copy_goes_out_after_the_end_and_whoever_was_sent_one_is_told() {
     let mut queue = Queue::new(DISK);
     take(&mut queue, message("a"));
-    assert!(queue.send_copy("a", 5));
-    queue.end(end("a"));
-    assert!(!queue.send_copy("a", 6));
-    assert_eq!(queue.owned("a").unwrap().untold.iter().copied().collect::<Vec<_>>(), [5]);
-    assert!(!queue.send_copy("unknown", 5));
+    assert!(queue.begin_copy("a", 5));
+    queue.finish(completed("a"));
+    assert!(!queue.begin_copy("a", 6));
+    assert_eq!(queue.owned("a").unwrap().unnotified.iter().copied().collect::<Vec<_>>(), [5]);
+    assert!(!queue.begin_copy("unknown", 5));
 }
 
 /// An edge gave a message to two stores: one of them kept it for the other too, and left it.
@@ -364,23 +365,23 @@
 fn a_message_that_is_left_stays_as_a_copy_for_whoever_counts_on_one() {
     let mut queue = Queue::new(DISK);
     take(&mut queue, message("a"));
-    queue.keep(9, message("a"));
+    queue.keep_replica(9, message("a"));
     assert_eq!(queue.held_for(9).live.len(), 1);
-    assert!(queue.leave("a"));
+    assert!(queue.relinquish("a"));
     assert_eq!(queue.replicas_of(9).count(), 1);
-    queue.drop_replica_of(9, "a");
+    queue.drop_replica(9, "a");
     assert!(queue.replica("a").is_none());
-    assert_eq!(queue.bytes(), 0);
+    assert_eq!(queue.body_bytes(), 0);
 }
 
 #[test]
 fn a_copy_for_two_owners_goes_with_the_last_of_them() {
     let mut queue = Queue::new(DISK);
-    queue.keep(8, message("a"));
-    queue.keep(9, message("a"));
-    queue.drop_replica_of(9, "a");
+    queue.keep_replica(8, message("a"));
+    queue.keep_replica(9, message("a"));
+    queue.drop_replica(9, "a");
     assert_eq!(queue.replicas_of(8).count(), 1);
-    queue.drop_replica_of(8, "a");
+    queue.drop_replica(8, "a");
     assert!(queue.replica("a").is_none());
 }
 
@@ -388,20 +389,20 @@
 #[test]
 fn a_call_back_is_owed_by_holders_until_it_is_accepted() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, with_callback("a"));
-    queue.end(end("a"));
-    assert_eq!(queue.ended_after(9, "").count(), 1);
-    let given = given_ended(with_callback("a"), end("a"));
-    assert!(queue.adopt_ended(given.clone()));
-    assert!(!queue.adopt_ended(given.clone()));
-    assert!(queue.owned("a").unwrap().owes_callback);
+    queue.keep_replica(9, with_callback("a"));
+    queue.finish(completed("a"));
+    assert_eq!(queue.finished_after(9, "").count(), 1);
+    let transfer = finished_transfer(with_callback("a"), completed("a"));
+    assert!(queue.adopt_finished(transfer.clone()));
+    assert!(!queue.adopt_finished(transfer.clone()));
+    assert!(queue.owned("a").unwrap().callback_pending);
 
     let mut other = Queue::new(DISK);
-    other.keep(9, with_callback("a"));
-    other.end(end("a"));
-    other.called_back("a");
-    assert_eq!(other.ended_after(9, "").count(), 0);
-    assert!(!other.adopt_ended(given), "it was accepted");
+    other.keep_replica(9, with_callback("a"));
+    other.finish(completed("a"));
+    other.mark_callback_done("a");
+    assert_eq!(other.finished_after(9, "").count(), 0);
+    assert!(!other.adopt_finished(transfer), "it was accepted");
 }
 
 #[test]
@@ -412,12 +413,15 @@
         Entry::Message { owner: DISK, message: message("left") },
         Entry::Dropped { owner: DISK, id: "left".to_string() },
         Entry::Message { owner: 9, message: with_callback("owed") },
-        Entry::Ended(end("owed")),
-        Entry::EndedMessage { owner: DISK, given: given_ended(with_callback("owed"), end("owed")) },
+        Entry::Finished(completed("owed")),
+        Entry::FinishedMessage {
+            owner: DISK,
+            transfer: finished_transfer(with_callback("owed"), completed("owed")),
+        },
     ];
-    records.into_iter().for_each(|record| queue.recover(record));
-    assert_eq!(queue.take_left().into_iter().collect::<Vec<_>>(), ["left"]);
-    assert!(queue.owned("owed").unwrap().owes_callback);
+    records.into_iter().for_each(|record| queue.replay(record));
+    assert_eq!(queue.take_relinquished().into_iter().collect::<Vec<_>>(), ["left"]);
+    assert!(queue.owned("owed").unwrap().callback_pending);
 }
 
 /// The cause of an incident: a holder let the body of a dead letter go, and its heir showed an empty one.
@@ -425,53 +429,53 @@
 fn a_dead_letter_keeps_its_body_from_owner_to_holder_to_heir() {
     for message in [message("a"), with_callback("a")] {
         let mut holder = Queue::new(DISK);
-        holder.keep(9, message.clone());
-        holder.end(dead("a"));
+        holder.keep_replica(9, message.clone());
+        holder.finish(dead_lettered("a"));
         assert_eq!(bytes_of(&holder, "a").as_deref(), Some(&BODY[..]), "a holder shows it");
-        let given: Vec<GivenEnded> = holder.ended_after(9, "").collect();
+        let transfer: Vec<FinishedTransfer> = holder.finished_after(9, "").collect();
         let mut heir = Queue::new(2);
-        let (entries, new) = custody::adopt_ended(&mut heir, given);
+        let (entries, new) = replication::adopt_finished(&mut heir, transfer);
         assert_eq!((entries.len(), new.len()), (1, 1), "the message and its end are one record");
         assert_eq!(bytes_of(&heir, "a").as_deref(), Some(&BODY[..]));
-        assert_eq!(heir.owned("a").unwrap().owes_callback, message.envelope.callback.is_some());
+        assert_eq!(heir.owned("a").unwrap().callback_pending, message.envelope.callback.is_some());
 
         let mut restarted = Queue::new(2);
-        entries.into_iter().for_each(|entry| restarted.recover(entry));
+        entries.into_iter().for_each(|entry| restarted.replay(entry));
         assert_eq!(bytes_of(&restarted, "a").as_deref(), Some(&BODY[..]));
-        assert_eq!(restarted.end_of("a"), Some(dead("a")));
-        assert_eq!(restarted.bytes(), BODY.len());
+        assert_eq!(restarted.final_record_of("a"), Some(dead_lettered("a")));
+        assert_eq!(restarted.body_bytes(), BODY.len());
     }
 }
 
 #[test]
 fn a_dead_letter_whose_call_back_was_accepted_keeps_its_body_and_isnt_called_back_again() {
     let mut holder = Queue::new(DISK);
-    holder.keep(9, with_callback("a"));
-    holder.end(dead("a"));
-    holder.called_back("a");
-    let given: Vec<GivenEnded> = holder.ended_after(9, "").collect();
+    holder.keep_replica(9, with_callback("a"));
+    holder.finish(dead_lettered("a"));
+    holder.mark_callback_done("a");
+    let transfer: Vec<FinishedTransfer> = holder.finished_after(9, "").collect();
     let mut heir = Queue::new(2);
-    custody::adopt_ended(&mut heir, given);
+    replication::adopt_finished(&mut heir, transfer);
     assert_eq!(bytes_of(&heir, "a").as_deref(), Some(&BODY[..]));
-    assert!(!heir.owned("a").unwrap().owes_callback);
+    assert!(!heir.owned("a").unwrap().callback_pending);
 }
 
 #[test]
 fn a_completed_message_has_no_body_anywhere() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, with_callback("kept"));
+    queue.keep_replica(9, with_callback("kept"));
     take(&mut queue, message("own"));
-    assert!(queue.end(end("kept")) && queue.end(end("own")));
+    assert!(queue.finish(completed("kept")) && queue.finish(completed("own")));
     assert_eq!((bytes_of(&queue, "kept"), bytes_of(&queue, "own")), (None, None));
-    assert_eq!(queue.bytes(), 0);
+    assert_eq!(queue.body_bytes(), 0);
 }
 
 /// An empty body is one that a client sent, and is kept like any other.
 #[test]
 fn an_empty_body_is_not_a_missing_one() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, Message::new(envelope("a"), Vec::new()));
-    queue.end(dead("a"));
+    queue.keep_replica(9, Message::new(envelope("a"), Vec::new()));
+    queue.finish(dead_lettered("a"));
     assert_eq!(bytes_of(&queue, "a"), Some(Vec::new()));
 }
 
@@ -482,32 +486,37 @@
     take(&mut queue, message("live"));
     take(&mut queue, with_callback("owing"));
     take(&mut queue, message("dead"));
-    queue.keep(9, message("replica"));
-    queue.keep(9, with_callback("dead replica"));
-    queue.keep(9, message("completed replica"));
-    for end in [end("owing"), dead("dead"), dead("dead replica"), end("completed replica")] {
-        queue.end(end);
+    queue.keep_replica(9, message("replica"));
+    queue.keep_replica(9, with_callback("dead replica"));
+    queue.keep_replica(9, message("completed replica"));
+    for final_record in [
+        completed("owing"),
+        dead_lettered("dead"),
+        dead_lettered("dead replica"),
+        completed("completed replica"),
+    ] {
+        queue.finish(final_record);
     }
-    queue.called_back("dead replica");
+    queue.mark_callback_done("dead replica");
     let ids = ["live", "owing", "dead", "replica", "dead replica", "completed replica"];
-    let again: Vec<Entry> = ids.iter().flat_map(|id| custody::records_of(&queue, id)).collect();
+    let again: Vec<Entry> = ids.iter().flat_map(|id| replication::current_entries(&queue, id)).collect();
     let twice: Vec<Entry> = again.iter().chain(&again).cloned().collect();
     let reversed: Vec<Entry> = again.iter().rev().cloned().collect();
     for records in [again, twice, reversed] {
         let mut restarted = Queue::new(DISK);
-        records.into_iter().for_each(|record| restarted.recover(record));
-        restarted.recovered();
+        records.into_iter().for_each(|record| restarted.replay(record));
+        restarted.finish_recovery();
         assert_eq!(restarted.counts(), queue.counts());
-        assert_eq!(restarted.bytes(), queue.bytes());
+        assert_eq!(restarted.body_bytes(), queue.body_bytes());
         for id in ids {
             assert_eq!(bytes_of(&restarted, id), bytes_of(&queue, id), "{id}");
-            assert_eq!(restarted.end_of(id), queue.end_of(id), "{id}");
+            assert_eq!(restarted.final_record_of(id), queue.final_record_of(id), "{id}");
         }
         assert_eq!(
-            restarted.ended_after(9, "").collect::<Vec<_>>(),
-            queue.ended_after(9, "").collect::<Vec<_>>()
+            restarted.finished_after(9, "").collect::<Vec<_>>(),
+            queue.finished_after(9, "").collect::<Vec<_>>()
         );
-        assert!(restarted.owned("owing").unwrap().owes_callback);
+        assert!(restarted.owned("owing").unwrap().callback_pending);
     }
 }
 
@@ -516,17 +525,17 @@
 fn an_owner_learns_from_a_holder_what_it_holds_and_what_has_ended() {
     let mut queue = Queue::new(DISK);
     ["live", "dead", "ended there", "gone"].into_iter().for_each(|id| take(&mut queue, message(id)));
-    ["live", "dead", "gone"].into_iter().for_each(|id| queue.copy_kept(id, 5));
-    queue.end(dead("dead"));
+    ["live", "dead", "gone"].into_iter().for_each(|id| queue.confirm_copy(id, 5));
+    queue.finish(dead_lettered("dead"));
     let ids = |ids: &[&str]| ids.iter().map(ToString::to_string).collect::<BTreeSet<String>>();
-    let held = HeldIds { live: ids(&["live", "unknown"]), ended: ids(&["dead", "ended there"]) };
-    let reconciled = custody::reconcile(&mut queue, 5, &held);
+    let held = HeldIds { live: ids(&["live", "unknown"]), finished: ids(&["dead", "ended there"]) };
+    let reconciled = replication::reconcile(&mut queue, 5, &held);
     assert_eq!(reconciled.unknown, ["unknown"]);
-    assert_eq!(reconciled.ended_there, ["ended there"]);
-    assert!(reconciled.ends.is_empty());
-    let copies = |id: &str| queue.owned(id).unwrap().copies.contains(&5);
+    assert_eq!(reconciled.finished_there, ["ended there"]);
+    assert!(reconciled.missed_entries.is_empty());
+    let copies = |id: &str| queue.owned(id).unwrap().confirmed_holders.contains(&5);
     assert!(copies("live") && copies("dead") && !copies("gone"));
-    assert!(queue.owned("dead").unwrap().untold.is_empty());
+    assert!(queue.owned("dead").unwrap().unnotified.is_empty());
 }
 
 #[test]
@@ -535,17 +544,19 @@
     take(&mut queue, message("dead"));
     take(&mut queue, with_callback("owing"));
     take(&mut queue, message("completed"));
-    for end in [dead("dead"), end("owing"), end("completed")] {
-        assert!(queue.end(end));
+    for final_record in [dead_lettered("dead"), completed("owing"), completed("completed")] {
+        assert!(queue.finish(final_record));
     }
     let placement = Placement::anywhere(BTreeSet::from([5, 6]), 1);
     let lacking = |queue: &Queue| -> Vec<String> {
-        custody::lacking_ended(queue, &placement).map(|owned| owned.id().to_string()).collect()
+        replication::under_replicated_finished(queue, &placement)
+            .map(|owned| owned.id().to_string())
+            .collect()
     };
     assert_eq!(lacking(&queue), ["dead", "owing"]);
-    assert!(queue.send_ended("dead", 5) && !queue.send_copy("dead", 5));
-    queue.copy_kept("dead", 5);
-    queue.called_back("owing");
+    assert!(queue.begin_finished_copy("dead", 5) && !queue.begin_copy("dead", 5));
+    queue.confirm_copy("dead", 5);
+    queue.mark_callback_done("owing");
     assert!(lacking(&queue).is_empty());
 }
 
@@ -553,57 +564,62 @@
 #[test]
 fn what_is_kept_for_an_absent_owner_is_made_whole_with_its_bodies() {
     let mut holder = Queue::new(DISK);
-    holder.keep(9, message("live"));
-    holder.keep(9, message("dead"));
-    holder.keep(9, message("completed"));
-    assert!(holder.end(dead("dead")) && holder.end(end("completed")));
+    holder.keep_replica(9, message("live"));
+    holder.keep_replica(9, message("dead"));
+    holder.keep_replica(9, message("completed"));
+    assert!(holder.finish(dead_lettered("dead")) && holder.finish(completed("completed")));
     let placement = Placement::anywhere(BTreeSet::from([DISK, 2]), 2);
-    let targets = custody::targets(&holder, 9, false, &placement);
+    let targets = replication::replication_targets(&holder, 9, false, &placement);
     let ids = &targets[&2];
     assert_eq!(
-        (&ids.live[..], &ids.ended[..], &ids.ends[..]),
+        (&ids.live[..], &ids.finished[..], &ids.final_records[..]),
         (&["live".to_string()][..], &["dead".to_string()][..], &["completed".to_string()][..])
     );
     let mut other = Queue::new(2);
-    assert_eq!(&custody::lacking_of(&other, 9, ids), ids);
-    let preserved = custody::Preserved {
+    assert_eq!(&replication::missing_ids(&other, 9, ids), ids);
+    let preserved = replication::ReplicaBatch {
         live: holder.replicas_of(9).map(Into::into).collect(),
-        ended: holder.ended_after(9, "").collect(),
-        ends: vec![end("completed")],
+        finished: holder.finished_after(9, "").collect(),
+        final_records: vec![completed("completed")],
     };
-    custody::preserve(&mut other, &mut custody::Absences::default(), 9, preserved);
-    assert_eq!(custody::lacking_of(&other, 9, ids), custody::Ids::default());
+    replication::keep_replica_batch(&mut other, &mut replication::AbsenceTracker::default(), 9, preserved);
+    assert_eq!(replication::missing_ids(&other, 9, ids), replication::MessageIds::default());
     assert_eq!(bytes_of(&other, "dead").as_deref(), Some(&BODY[..]));
-    let of_given_up = custody::targets(&holder, 9, true, &placement);
+    let of_given_up = replication::replication_targets(&holder, 9, true, &placement);
     assert_eq!(
         of_given_up[&2],
-        custody::Ids { ends: vec!["completed".to_string()], ..custody::Ids::default() }
+        replication::MessageIds {
+            final_records: vec!["completed".to_string()],
+            ..replication::MessageIds::default()
+        }
     );
 }
 
 #[test]
 fn what_a_holder_kept_for_one_owner_alone_goes_with_it_but_for_the_end() {
     let mut queue = Queue::new(DISK);
-    queue.keep(9, message("a"));
-    queue.end(dead("a"));
-    queue.keep_ended(8, given_ended(message("a"), dead("a")));
-    queue.drop_replica_of(9, "a");
+    queue.keep_replica(9, message("a"));
+    queue.finish(dead_lettered("a"));
+    queue.keep_finished(8, finished_transfer(message("a"), dead_lettered("a")));
+    queue.drop_replica(9, "a");
     assert_eq!(bytes_of(&queue, "a").as_deref(), Some(&BODY[..]), "it is kept for the other");
-    queue.drop_replica_of(8, "a");
-    assert_eq!((bytes_of(&queue, "a"), queue.end_of("a")), (None, Some(dead("a"))));
-    assert_eq!(queue.bytes(), 0);
+    queue.drop_replica(8, "a");
+    assert_eq!((bytes_of(&queue, "a"), queue.final_record_of("a")), (None, Some(dead_lettered("a"))));
+    assert_eq!(queue.body_bytes(), 0);
 }
 
 #[test]
 fn what_is_held_for_a_store_is_told_piece_by_piece() {
     let mut queue = Queue::new(DISK);
-    ["b", "d", "e"].into_iter().for_each(|id| queue.keep(9, message(id)));
-    ["a", "c"].into_iter().for_each(|id| queue.keep_ended(9, given_ended(message(id), dead(id))));
+    ["b", "d", "e"].into_iter().for_each(|id| queue.keep_replica(9, message(id)));
+    ["a", "c"]
+        .into_iter()
+        .for_each(|id| queue.keep_finished(9, finished_transfer(message(id), dead_lettered(id))));
     let (mut after, mut seen) = (String::new(), Vec::new());
     loop {
-        let (piece, more) = queue.held_for(9).after(&after, 2);
+        let (piece, more) = queue.held_for(9).page_after(&after, 2);
         after = piece.last().cloned().unwrap_or_default();
-        seen.push((piece.live.len(), piece.ended.len(), more));
+        seen.push((piece.live.len(), piece.finished.len(), more));
         if !more {
             break;
         }
@@ -630,7 +646,7 @@
     let mut queue = Queue::new(DISK);
     ["a", "b", "c"].into_iter().for_each(|id| take(&mut queue, message(id)));
     queue.start("a");
-    queue.end(end("b"));
-    queue.keep(9, message("d"));
-    assert_eq!(queue.counts(), Counts { waiting: 1, running: 1, ended: 1, replicas: 1 });
+    queue.finish(completed("b"));
+    queue.keep_replica(9, message("d"));
+    assert_eq!(queue.counts(), Counts { waiting: 1, running: 1, finished: 1, replicas: 1 });
 }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -2,7 +2,7 @@
 use crate::Ms;
 
 /// Tokens that were taken within the last one to two such spans may be given back.
-pub const RETURN_SPAN: Ms = 100;
+pub const RETURN_WINDOW_MS: Ms = 100;
 
 /// How fast a bucket fills, and how many tokens it holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,8 +19,8 @@
 
 /// Tokens that were taken in one [`RETURN_SPAN`] and not given back.
 #[derive(Clone, Copy, Debug, Default)]
-struct Taken {
-    span: Ms,
+struct TakenInWindow {
+    window: Ms,
     tokens: u64,
 }
 
@@ -30,15 +30,15 @@
     limit: Limit,
     tokens: f64,
     filled_at: Ms,
-    now: Taken,
-    before: Taken,
+    current_window: TakenInWindow,
+    previous_window: TakenInWindow,
 }
 
 impl Bucket {
     /// An empty bucket that begins to fill at a time, which may be to come.
     pub fn new(limit: Limit, fills_from: Ms) -> Bucket {
-        let (now, before) = (Taken::default(), Taken::default());
-        Bucket { limit, tokens: 0.0, filled_at: fills_from, now, before }
+        let (current_window, previous_window) = (TakenInWindow::default(), TakenInWindow::default());
+        Bucket { limit, tokens: 0.0, filled_at: fills_from, current_window, previous_window }
     }
 
     /// Takes up to so many tokens; how many there were.
@@ -46,20 +46,20 @@
         self.fill(limit, now);
         let taken = (self.tokens.floor() as u64).min(wanted);
         self.tokens -= taken as f64;
-        self.now.tokens += taken;
+        self.current_window.tokens += taken;
         taken
     }
 
     /// Takes back tokens that were taken at a time and not used. Of those that were taken too long ago, nothing is taken
     /// back: the bucket may have been full meanwhile, and would hold more than if they never had been taken.
-    pub fn take_back(&mut self, limit: Limit, tokens: u64, taken_at: Ms, now: Ms) {
+    pub fn return_tokens(&mut self, limit: Limit, tokens: u64, taken_at: Ms, now: Ms) {
         self.fill(limit, now);
-        if taken_at > now || now - taken_at > RETURN_SPAN {
+        if taken_at > now || now - taken_at > RETURN_WINDOW_MS {
             return;
         }
-        let slot = match taken_at / RETURN_SPAN == self.now.span {
-            true => &mut self.now,
-            false => &mut self.before,
+        let slot = match taken_at / RETURN_WINDOW_MS == self.current_window.window {
+            true => &mut self.current_window,
+            false => &mut self.previous_window,
         };
         let returned = tokens.min(slot.tokens);
         slot.tokens -= returned;
@@ -67,7 +67,7 @@
     }
 
     /// Milliseconds until there is a token.
-    pub fn short_for(&self, now: Ms) -> Ms {
+    pub fn ms_until_token(&self, now: Ms) -> Ms {
         let missing = (1.0 - self.tokens).max(0.0);
         let filling = (missing / self.limit.tokens_per_s * 1_000.0).ceil().min(f64::from(u32::MAX)) as Ms;
         filling + self.filled_at.saturating_sub(now)
@@ -82,29 +82,30 @@
     /// Nothing would be lost by forgetting it: it is full, and no token can come back.
     pub fn is_idle(&mut self, limit: Limit, now: Ms) -> bool {
         self.fill(limit, now);
-        self.tokens >= limit.depth && self.now.tokens + self.before.tokens == 0
+        self.tokens >= limit.depth && self.current_window.tokens + self.previous_window.tokens == 0
     }
 
     /// Fills by the lower of the rates before and now, so that a raise doesn't count for the time before it was known.
     fn fill(&mut self, limit: Limit, now: Ms) {
-        self.move_spans(now);
+        self.advance_window(now);
         let rate = self.limit.tokens_per_s.min(limit.tokens_per_s);
         let passed = now.saturating_sub(self.filled_at);
         let filled = self.tokens + Limit { tokens_per_s: rate, ..limit }.filled_in(passed);
-        let outstanding = (self.now.tokens + self.before.tokens) as f64;
+        let outstanding = (self.current_window.tokens + self.previous_window.tokens) as f64;
         // Tokens that may still come back leave no room for as many new ones, but for those of their own time.
-        let room = limit.depth + limit.filled_in(2 * RETURN_SPAN) - outstanding;
+        let room = limit.depth + limit.filled_in(2 * RETURN_WINDOW_MS) - outstanding;
         self.tokens = filled.min(room.max(self.tokens)).min(limit.depth);
         self.filled_at = self.filled_at.max(now);
         self.limit = limit;
     }
 
-    fn move_spans(&mut self, now: Ms) {
-        let span = now / RETURN_SPAN;
-        if span == self.now.span {
+    fn advance_window(&mut self, now: Ms) {
+        let window = now / RETURN_WINDOW_MS;
+        if window == self.current_window.window {
             return;
         }
-        let last = std::mem::replace(&mut self.now, Taken { span, tokens: 0 });
-        self.before = if last.span + 1 == span { last } else { Taken::default() };
+        let previous = std::mem::replace(&mut self.current_window, TakenInWindow { window, tokens: 0 });
+        self.previous_window =
+            if previous.window + 1 == window { previous } else { TakenInWindow::default() };
     }
 }
--- a/crates/quota/src/counters.rs
+++ b/crates/quota/src/counters.rs
@@ -5,11 +5,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// So many stores count for a tenant, where there are as many.
-pub const COUNTERS: usize = 5;
+pub const COUNTERS_PER_TENANT: usize = 5;
 /// A bucket holds at least what fills it in so long: with less, tokens are lost between two calls.
-const LEAST_DEPTH_S: f64 = 0.1;
+const MIN_DEPTH_S: f64 = 0.1;
 /// And at least so many tokens.
-const LEAST_DEPTH: f64 = 2.0;
+const MIN_DEPTH_TOKENS: f64 = 2.0;
 
 /// The stores that count for one tenant, by their disks.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,12 +19,12 @@
 
 impl Counters {
     /// Those that count for a tenant, by the disks of the owners of all partitions.
-    pub fn of(tenant: &str, owners: impl IntoIterator<Item = u64>) -> Counters {
+    pub fn for_tenant(tenant: &str, owners: impl IntoIterator<Item = u64>) -> Counters {
         let owners: Vec<u64> = owners.into_iter().collect();
         let first = xxh3_64(tenant.as_bytes()) as usize % owners.len().max(1);
-        let mut disks = Vec::with_capacity(COUNTERS);
+        let mut disks = Vec::with_capacity(COUNTERS_PER_TENANT);
         for owner in owners[first..].iter().chain(&owners[..first]) {
-            if disks.len() < COUNTERS && !disks.contains(owner) {
+            if disks.len() < COUNTERS_PER_TENANT && !disks.contains(owner) {
                 disks.push(*owner);
             }
         }
@@ -38,7 +38,7 @@
     }
 
     /// Whether a disk's store counts.
-    pub fn has(&self, disk: u64) -> bool {
+    pub fn contains(&self, disk: u64) -> bool {
         self.disks.contains(&disk)
     }
 
@@ -54,12 +54,12 @@
     }
 
     /// The limit of each bucket, so that all together can't grant more messages than the quota.
-    pub fn limit(&self, quota: Quota) -> Limit {
+    pub fn bucket_limit(&self, quota: Quota) -> Limit {
         let share = self.quorum() as f64 / self.disks.len().max(1) as f64;
         let tokens_per_s = quota.rate_per_s * share;
-        let depth = (quota.burst * share).max(tokens_per_s * LEAST_DEPTH_S);
+        let depth = (quota.burst * share).max(tokens_per_s * MIN_DEPTH_S);
         match quota.rate_per_s > 0.0 || quota.burst >= 1.0 {
-            true => Limit { tokens_per_s, depth: depth.max(LEAST_DEPTH) },
+            true => Limit { tokens_per_s, depth: depth.max(MIN_DEPTH_TOKENS) },
             false => Limit { tokens_per_s: 0.0, depth: 0.0 },
         }
     }
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -1,8 +1,8 @@
 //! Stores that count for tenants, in simulated time: calls are delayed and lost, processes stand still and restart, the
 //! network splits, stores are lost and new ones come, limits change.
-use quota::grant::{order, Candidate, Reply};
-use quota::ledger::Known;
-use quota::{Counted, Counters, Grant, Ledger, Ms, Progress, Return, Want};
+use quota::ledger::TenantLimit;
+use quota::quorum::{ask_order, Candidate, CounterReply};
+use quota::{Counters, Ledger, Ms, Progress, QuorumRequest, TokenRequest, TokenResponse, TokenReturn};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use settings::Quota;
@@ -53,7 +53,7 @@
 struct Batch {
     tenant: usize,
     begun: Ms,
-    grants: Vec<Grant>,
+    grants: Vec<QuorumRequest>,
     decided: Vec<bool>,
 }
 
@@ -202,13 +202,17 @@
                 self.answered(from, to, batch, grants, counted)
             }
             Event::Return { to, tenant, tokens, life, at } => {
-                let returned = Return { tenant: name(tenant), tokens, taken: quota::Stamp { life, at } };
-                self.stores[to].ledger.take_back(&returned, self.now);
+                let returned = TokenReturn {
+                    tenant: name(tenant),
+                    tokens,
+                    stamp: quota::TokenStamp { incarnation: life, taken_at: at },
+                };
+                self.stores[to].ledger.return_tokens(&returned, self.now);
             }
             Event::Late { store, batch } => {
                 let Batch { grants, decided, .. } = &mut self.batches[batch];
                 let undecided = grants.iter_mut().zip(decided.iter()).filter(|(_, decided)| !**decided);
-                let late: Vec<u64> = undecided.flat_map(|(grant, _)| grant.late()).collect();
+                let late: Vec<u64> = undecided.flat_map(|(grant, _)| grant.mark_late()).collect();
                 let silent_until = self.now + SILENT_FOR;
                 for disk in late {
                     self.stores[store].silent_until.insert(disk, silent_until);
@@ -265,7 +269,7 @@
             Mistake::StartsFull => self.now.saturating_sub(60_000),
             _ => self.now,
         };
-        self.stores[store].ledger.heard(members, asked_at, now);
+        self.stores[store].ledger.update_members(members, asked_at, now);
     }
 
     fn begin(&mut self, store: usize, tenant: usize, count: u32) {
@@ -276,11 +280,11 @@
         let turn = self.lot.random_range(0..6);
         let silent_until = &self.stores[store].silent_until;
         let candidate = |disk: &u64| {
-            let silent = silent_until.get(disk).is_some_and(|until| self.now < *until);
-            Candidate { disk: *disk, silent, plenty: false, distance: 0 }
+            let unresponsive = silent_until.get(disk).is_some_and(|until| self.now < *until);
+            Candidate { disk: *disk, unresponsive, above_half: false, distance: 0 }
         };
-        let in_order = order(counters.disks().iter().map(candidate).collect(), turn);
-        let grants = (0..count).map(|_| Grant::new(&counters, &in_order)).collect();
+        let in_order = ask_order(counters.disks().iter().map(candidate).collect(), turn);
+        let grants = (0..count).map(|_| QuorumRequest::new(&counters, &in_order)).collect();
         let (begun, decided) = (self.now, vec![false; count as usize]);
         self.batches.push(Batch { tenant, begun, grants, decided });
         let batch = self.batches.len() - 1;
@@ -289,7 +293,7 @@
         self.go_on(store, batch);
     }
 
-    fn progress(&self, grant: &Grant, heard_token: bool) -> Progress {
+    fn progress(&self, grant: &QuorumRequest, heard_token: bool) -> Progress {
         match self.mistake == Mistake::QuorumOfOne && heard_token {
             true => Progress::Granted,
             false => grant.progress(),
@@ -301,7 +305,7 @@
         let mut asks: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         let Batch { grants, decided, .. } = &mut self.batches[batch];
         for (place, grant) in grants.iter_mut().enumerate().filter(|(place, _)| !decided[*place]) {
-            for disk in grant.to_ask() {
+            for disk in grant.counters_to_ask() {
                 asks.entry(disk).or_default().push(place);
             }
         }
@@ -323,13 +327,20 @@
             let whole = caller.disks().len() as f64 / caller.quorum() as f64;
             quota = Quota { rate_per_s: quota.rate_per_s * whole, burst: quota.burst * whole };
         }
-        let want = Want { tenant: name(tenant), counters: caller.digest(), tokens: grants.len() as u32 };
-        let counted = self.stores[to].ledger.count(&want, Known::Limited(quota), self.now);
+        let want = TokenRequest {
+            tenant: name(tenant),
+            counters_digest: caller.digest(),
+            tokens: grants.len() as u32,
+        };
+        let counted = self.stores[to].ledger.take_tokens(&want, TenantLimit::Limited(quota), self.now);
         let counted = match counted {
-            Counted::Taken { tokens, stamp, short_ms, .. } => {
-                Answered::Taken { tokens, life: stamp.life, at: stamp.at, short_ms }
-            }
-            Counted::NoLimit | Counted::NotHere => Answered::No,
+            TokenResponse::Granted { tokens, stamp, next_token_ms, .. } => Answered::Taken {
+                tokens,
+                life: stamp.incarnation,
+                at: stamp.taken_at,
+                short_ms: next_token_ms,
+            },
+            TokenResponse::NoLimit | TokenResponse::NotCounting => Answered::No,
         };
         self.send(to, from, Event::Answer { from: to, to: from, batch, grants, counted });
     }
@@ -340,20 +351,20 @@
         for (turn, place) in grants.into_iter().enumerate() {
             let reply = match counted {
                 Answered::Taken { tokens, life, at, .. } if (turn as u32) < tokens => {
-                    Reply::Token(quota::Stamp { life, at })
+                    CounterReply::Token(quota::TokenStamp { incarnation: life, taken_at: at })
                 }
-                Answered::Taken { short_ms, .. } => Reply::Short(short_ms),
-                Answered::No => Reply::NotCounted,
+                Answered::Taken { short_ms, .. } => CounterReply::Exhausted(short_ms),
+                Answered::No => CounterReply::Unavailable,
             };
-            if let (true, Reply::Token(stamp)) = (self.batches[batch].decided[place], reply) {
+            if let (true, CounterReply::Token(stamp)) = (self.batches[batch].decided[place], reply) {
                 let twice = self.mistake == Mistake::CountsBatchesTwice;
                 if !twice {
                     self.give_back(to, batch, disk, stamp);
                 }
                 continue;
             }
-            self.batches[batch].grants[place].heard(disk, reply);
-            self.decide(to, batch, place, matches!(reply, Reply::Token(_)));
+            self.batches[batch].grants[place].record_reply(disk, reply);
+            self.decide(to, batch, place, matches!(reply, CounterReply::Token(_)));
         }
         self.go_on(to, batch);
     }
@@ -364,10 +375,10 @@
         }
         let in_time = self.now <= self.batches[batch].begun + PATIENCE;
         if !in_time {
-            self.batches[batch].grants[place].give_up();
+            self.batches[batch].grants[place].abandon();
         }
         let progress = self.progress(&self.batches[batch].grants[place], heard_token && in_time);
-        if progress == Progress::Open {
+        if progress == Progress::Pending {
             return;
         }
         self.batches[batch].decided[place] = true;
@@ -375,27 +386,31 @@
         if progress == Progress::Granted {
             self.accepted[tenant].push(self.now);
         }
-        if let Progress::Denied(quota::Denial::OverQuota { for_ms }) = progress {
-            self.stores[store].short_until.insert(tenant, self.now + for_ms);
+        if let Progress::Denied(quota::Denial::OverQuota { refuse_for_ms }) = progress {
+            self.stores[store].short_until.insert(tenant, self.now + refuse_for_ms);
         }
         if self.mistake != Mistake::QuorumOfOne {
-            let unused = self.batches[batch].grants[place].to_give_back();
+            let unused = self.batches[batch].grants[place].unused_tokens();
             unused.into_iter().for_each(|token| self.give_back(store, batch, token.disk, token.stamp));
         }
     }
 
-    fn give_back(&mut self, from: usize, batch: usize, disk: u64, stamp: quota::Stamp) {
+    fn give_back(&mut self, from: usize, batch: usize, disk: u64, stamp: quota::TokenStamp) {
         let (Some(to), tenant) = (self.index(disk), self.batches[batch].tenant) else { return };
         let times = if self.mistake == Mistake::ReturnsTwice { 2 } else { 1 };
         for _ in 0..times {
-            self.send(from, to, Event::Return { to, tenant, tokens: 1, life: stamp.life, at: stamp.at });
+            self.send(
+                from,
+                to,
+                Event::Return { to, tenant, tokens: 1, life: stamp.incarnation, at: stamp.taken_at },
+            );
         }
     }
 
     fn expire(&mut self, store: usize, batch: usize) {
         for place in 0..self.batches[batch].grants.len() {
             if !self.batches[batch].decided[place] {
-                self.batches[batch].grants[place].give_up();
+                self.batches[batch].grants[place].abandon();
                 self.decide(store, batch, place, false);
             }
         }
@@ -447,7 +462,7 @@
 
     /// The counters of a tenant, as control knows them.
     pub fn counters(&self, tenant: usize) -> Counters {
-        Counters::of(&name(tenant), self.members.iter().copied())
+        Counters::for_tenant(&name(tenant), self.members.iter().copied())
     }
 
     /// The store of a disk.
