--- a/crates/node/src/store/absent_owners.rs
+++ b/crates/node/src/store/absent_owners.rs
@@ -10,8 +10,8 @@
 use super::Store;
 use crate::calls::Call;
 use net::runtime;
-use queue::custody::{self, Ids, Preserved};
-use queue::{GivenEnded, Placement};
+use queue::replication::{self, MessageIds, ReplicaBatch};
+use queue::{FinishedTransfer, Placement};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
         let lost = view.stores.iter().filter(|store| store.declared_lost).map(|store| store.disk).collect();
         let mut absent: BTreeSet<u64> = BTreeSet::union(&unresponsive, &lost).copied().collect();
         absent.remove(&self.disk);
-        let (due_owners, changed) = self.absences.borrow_mut().look(&available, &absent);
+        let (due_owners, changed) = self.absences.borrow_mut().update_presence(&available, &absent);
         if changed {
             self.needs_repair.set(true);
         }
@@ -48,12 +48,12 @@
             let to = SocketAddr::new(target.ip, self.port);
             all_sent &= self.preserve_at(to, owner, ids).await.is_some();
         }
-        self.absences.borrow_mut().done(owner, available, all_sent);
+        self.absences.borrow_mut().replication_finished(owner, available, all_sent);
     }
 
     /// The copies of an owner's messages that each other store should hold, as far as this store knows the
     /// messages.
-    fn copy_targets(&self, owner: u64, available: &BTreeSet<u64>) -> BTreeMap<u64, Ids> {
+    fn copy_targets(&self, owner: u64, available: &BTreeSet<u64>) -> BTreeMap<u64, MessageIds> {
         let view = self.cluster.stores();
         let is_remaining =
             |disk: &u64| view.get(*disk).is_some_and(|store| !store.declared_lost && !store.retiring);
@@ -67,60 +67,61 @@
             true => placement.with_spread(self.tolerance, locations, None),
             false => placement,
         };
-        custody::targets(&self.queue.borrow(), owner, is_lost, &placement)
+        replication::replication_targets(&self.queue.borrow(), owner, is_lost, &placement)
     }
 
     /// Sends another store the copies it lacks; none if that failed.
-    async fn preserve_at(&self, to: SocketAddr, owner: u64, ids: Ids) -> Option<()> {
+    async fn preserve_at(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<()> {
         for live in ids.live.chunks(MAX_IDS_PER_CALL) {
-            let query = Ids { live: live.to_vec(), ..Ids::default() };
+            let query = MessageIds { live: live.to_vec(), ..MessageIds::default() };
             let missing = self.query_missing(to, owner, query).await?.live;
             let mut remaining = &missing[..];
             while !remaining.is_empty() {
                 let (live, processed) = self.copies_by_id(remaining);
                 remaining = &remaining[(processed as usize).clamp(1, remaining.len())..];
-                self.send_preserved(to, owner, Preserved { live, ..Preserved::default() }).await?;
+                self.send_preserved(to, owner, ReplicaBatch { live, ..ReplicaBatch::default() }).await?;
             }
         }
-        for ended in ids.ended.chunks(MAX_IDS_PER_CALL) {
-            let query = Ids { ended: ended.to_vec(), ..Ids::default() };
-            let mut missing = self.query_missing(to, owner, query).await?.ended.into_iter();
+        for finished in ids.finished.chunks(MAX_IDS_PER_CALL) {
+            let query = MessageIds { finished: finished.to_vec(), ..MessageIds::default() };
+            let mut missing = self.query_missing(to, owner, query).await?.finished.into_iter();
             while missing.len() > 0 {
-                let ended = self.next_finished_batch(&mut missing);
-                self.send_preserved(to, owner, Preserved { ended, ..Preserved::default() }).await?;
+                let finished = self.next_finished_batch(&mut missing);
+                self.send_preserved(to, owner, ReplicaBatch { finished, ..ReplicaBatch::default() }).await?;
             }
         }
-        for ends in ids.ends.chunks(MAX_IDS_PER_CALL) {
-            let query = Ids { ends: ends.to_vec(), ..Ids::default() };
-            let missing = self.query_missing(to, owner, query).await?.ends;
+        for final_records in ids.final_records.chunks(MAX_IDS_PER_CALL) {
+            let query = MessageIds { final_records: final_records.to_vec(), ..MessageIds::default() };
+            let missing = self.query_missing(to, owner, query).await?.final_records;
             for ids in missing.chunks(MAX_FINAL_RECORDS_PER_CALL) {
-                let ends = self.final_records(ids);
-                self.send_preserved(to, owner, Preserved { ends, ..Preserved::default() }).await?;
+                let final_records = self.final_records(ids);
+                self.send_preserved(to, owner, ReplicaBatch { final_records, ..ReplicaBatch::default() })
+                    .await?;
             }
         }
         Some(())
     }
 
     /// The next finished messages that fit one call.
-    fn next_finished_batch(&self, ids: &mut std::vec::IntoIter<String>) -> Vec<GivenEnded> {
+    fn next_finished_batch(&self, ids: &mut std::vec::IntoIter<String>) -> Vec<FinishedTransfer> {
         let queue = self.queue.borrow();
-        let (mut ended, mut bytes) = (Vec::new(), 0);
+        let (mut finished, mut bytes) = (Vec::new(), 0);
         for id in ids.by_ref() {
-            let Some((_, given)) = queue.ended_replica(&id) else { continue };
-            bytes += given.ended.body_bytes();
-            ended.push(given);
-            if bytes >= MAX_BATCH_BYTES || ended.len() >= MAX_FINAL_RECORDS_PER_CALL {
+            let Some((_, given)) = queue.finished_replica(&id) else { continue };
+            bytes += given.finished.body_bytes();
+            finished.push(given);
+            if bytes >= MAX_BATCH_BYTES || finished.len() >= MAX_FINAL_RECORDS_PER_CALL {
                 break;
             }
         }
-        ended
+        finished
     }
 
-    async fn query_missing(&self, to: SocketAddr, owner: u64, ids: Ids) -> Option<Ids> {
-        self.peers.call::<Call, Ids>(to, &Call::Lacking { owner, ids }, PRESERVE_TIMEOUT).await.ok()
+    async fn query_missing(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<MessageIds> {
+        self.peers.call::<Call, MessageIds>(to, &Call::Lacking { owner, ids }, PRESERVE_TIMEOUT).await.ok()
     }
 
-    async fn send_preserved(&self, to: SocketAddr, owner: u64, preserved: Preserved) -> Option<()> {
+    async fn send_preserved(&self, to: SocketAddr, owner: u64, preserved: ReplicaBatch) -> Option<()> {
         if preserved.is_empty() {
             return Some(());
         }
@@ -137,22 +138,22 @@
             .get(&owner)
             .is_some_and(|replicator| replicator.is_unresponsive(runtime::now()));
         unresponsive
-            && self.absences.borrow().is_silent(owner, UNAVAILABLE_AFTER.as_millis() as u64, self.clock.ms())
+            && self.absences.borrow().is_absent(owner, UNAVAILABLE_AFTER.as_millis() as u64, self.clock.ms())
     }
 
     /// Stores messages and final records for an absent owner. Messages are refused if the owner is
     /// reachable or declared lost: the owner or its successor is then responsible for them.
-    pub(super) async fn preserve_for(&self, owner: u64, preserved: Preserved) -> bool {
+    pub(super) async fn preserve_for(&self, owner: u64, preserved: ReplicaBatch) -> bool {
         if self.paused.get() || self.draining.get() {
             return false;
         }
-        let has_messages = !preserved.live.is_empty() || !preserved.ended.is_empty();
+        let has_messages = !preserved.live.is_empty() || !preserved.finished.is_empty();
         if has_messages && (self.is_refused(owner) || !self.is_absent(owner)) {
             return false;
         }
         let entries = {
             let (mut queue, mut absences) = (self.queue.borrow_mut(), self.absences.borrow_mut());
-            custody::preserve(&mut queue, &mut absences, owner, preserved)
+            replication::keep_replica_batch(&mut queue, &mut absences, owner, preserved)
         };
         self.log.write(&entries).await
     }
--- a/crates/node/src/store/callbacks.rs
+++ b/crates/node/src/store/callbacks.rs
@@ -109,8 +109,8 @@
         callback.refusals += u32::from(status == 400);
         if status == 200 || callback.refusals >= MAX_REFUSALS {
             retry_delay = MIN_RETRY_DELAY;
-            store.queue.borrow_mut().called_back(&callback.id);
-            let entry = Entry::CalledBack { id: callback.id.clone() };
+            store.queue.borrow_mut().mark_callback_done(&callback.id);
+            let entry = Entry::CallbackDone { id: callback.id.clone() };
             store.log.write_later(&entry);
             store.send_to_holders(&callback.id, &entry);
             continue;
--- a/crates/node/src/store/compaction.rs
+++ b/crates/node/src/store/compaction.rs
@@ -1,7 +1,7 @@
 //! Compaction of the log: live records of the oldest file are written again at the end, so that the file
 //! can be freed.
 use super::Store;
-use queue::{custody, Entry};
+use queue::{replication, Entry};
 
 /// With a smaller share of free ring files, the oldest file is compacted.
 const MIN_FREE_RING_SHARE: f64 = 0.3;
@@ -29,7 +29,7 @@
         if !id.is_empty() {
             let relinquished = self.relinquished.borrow().contains_key(id);
             let relinquished = relinquished.then(|| Entry::Dropped { owner: self.disk, id: id.to_string() });
-            return custody::records_of(&queue, id).into_iter().chain(relinquished).collect();
+            return replication::current_entries(&queue, id).into_iter().chain(relinquished).collect();
         }
         let fences = queue.fenced().iter().map(|disk| Entry::Fenced { disk: *disk });
         let taken_over = queue.taken_over().iter().map(|disk| Entry::TakenOver { disk: *disk });
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -4,7 +4,7 @@
 use super::Store;
 use net::runtime;
 use net::wake::Watched;
-use queue::custody;
+use queue::replication;
 use queue::{Entry, Message, Placement};
 use settings::{Distance, Location};
 use std::cell::Cell;
@@ -75,16 +75,16 @@
     pub fn missing_copies(&self, id: &str, placement: &Placement) -> usize {
         let queue = self.queue.borrow();
         let live = queue.owned(id).filter(|owned| owned.is_live());
-        live.map_or(0, |owned| placement.missing(&owned.copies))
+        live.map_or(0, |owned| placement.missing_copies(&owned.confirmed_holders))
     }
 
     /// Disks of other stores that hold a copy of an own message.
     fn copies_of(&self, id: &str) -> BTreeSet<u64> {
-        self.queue.borrow().owned(id).map_or_else(BTreeSet::new, |owned| owned.copies.clone())
+        self.queue.borrow().owned(id).map_or_else(BTreeSet::new, |owned| owned.confirmed_holders.clone())
     }
 
     fn has_copy(&self, id: &str, disk: u64) -> bool {
-        self.queue.borrow().owned(id).is_some_and(|known| known.copies.contains(&disk))
+        self.queue.borrow().owned(id).is_some_and(|known| known.confirmed_holders.contains(&disk))
     }
 
     /// Disks of other stores whose copies count.
@@ -135,7 +135,7 @@
         entry: &Entry,
         attempts: &Rc<CopyAttempts>,
     ) {
-        if !self.queue.borrow_mut().send_copy(id, replicator.disk) {
+        if !self.queue.borrow_mut().begin_copy(id, replicator.disk) {
             return;
         }
         attempts.outstanding.set(attempts.outstanding.get() + 1);
@@ -143,7 +143,7 @@
         let (store, id, disk, attempts) = (self.clone(), id.to_string(), replicator.disk, attempts.clone());
         runtime::spawn(async move {
             if copied.await.unwrap_or(false) {
-                store.queue.borrow_mut().copy_kept(&id, disk);
+                store.queue.borrow_mut().confirm_copy(&id, disk);
             }
             attempts.outstanding.set(attempts.outstanding.get().saturating_sub(1));
             attempts.changed.raise();
@@ -178,7 +178,7 @@
 
     async fn restore_copies(self: Rc<Self>, id: String, entry: Entry) {
         let replicators = self.replicators.borrow().clone();
-        self.queue.borrow_mut().keep_copies_at(&id, |disk| replicators.contains_key(disk));
+        self.queue.borrow_mut().retain_copies(&id, |disk| replicators.contains_key(disk));
         self.ensure_copies(&id, &entry, Store::placement).await;
         self.repairing.borrow_mut().remove(&id);
         self.reservations.notify_changed();
@@ -196,7 +196,7 @@
         let lacking: Vec<(String, Entry)> = {
             let (queue, mut repairing) = (self.queue.borrow(), self.repairing.borrow_mut());
             let placement = self.placement();
-            let lacking = custody::lacking_copies(&queue, &placement);
+            let lacking = replication::under_replicated(&queue, &placement);
             let lacking = lacking.filter_map(|owned| owned.live_message());
             let lacking = lacking.filter(|message| repairing.insert(message.id().to_string()));
             let entry = |message: &Message| Entry::Message { owner: self.disk, message: message.clone() };
@@ -214,7 +214,7 @@
     /// Whether an unfinished message lacks copies.
     pub fn lacks_live_copies(&self) -> bool {
         let (queue, placement) = (self.queue.borrow(), self.placement());
-        let lacks = custody::lacking_copies(&queue, &placement).next().is_some();
+        let lacks = replication::under_replicated(&queue, &placement).next().is_some();
         lacks
     }
 
--- a/crates/node/src/store/deliver.rs
+++ b/crates/node/src/store/deliver.rs
@@ -7,7 +7,7 @@
 use net::repeat::Repeat;
 use net::runtime;
 use policy::api::Outcome as PolicyOutcome;
-use queue::{End, Entry, Envelope, Outcome};
+use queue::{Entry, Envelope, FinalRecord, Outcome};
 use settings::{Configuration, Route};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -143,18 +143,18 @@
         }
         let configuration = self.cluster.configuration();
         let has_route = |envelope: &Envelope| {
-            envelope.version > version || configuration.named(&envelope.route).is_some()
+            envelope.config_version > version || configuration.named(&envelope.route).is_some()
         };
-        let expired = self.queue.borrow().over(now, has_route);
+        let expired = self.queue.borrow().expired_or_unroutable(now, has_route);
         for id in expired {
             log::info!("{id} becomes a dead letter: its route was removed or it has expired");
-            self.finish(End { id, outcome: Outcome::DeadLetter, at: now });
+            self.finish(FinalRecord { id, outcome: Outcome::DeadLetter, at: now });
         }
         // The time in a final record may come from the clock of another store.
         let bounds = &self.settings.bounds;
         let retention_s = bounds.status_ttl_s.max(bounds.key_window_s);
         let retention_ms = (retention_s * 1_000.0) as u64 + bounds.max_skew_ms;
-        self.queue.borrow_mut().forget(now.saturating_sub(retention_ms));
+        self.queue.borrow_mut().discard_finished(now.saturating_sub(retention_ms));
     }
 
     /// Starts all deliveries that are due; returns the wall-clock time of the next pass.
@@ -178,7 +178,7 @@
     /// Whether a message may be delivered now. It is held back while another store may own it, and isn't
     /// delivered after its expiry.
     fn may_run(&self, envelope: &Envelope, now: u64) -> bool {
-        let is_bound = envelope.home_key().is_some();
+        let is_bound = envelope.partition_key().is_some();
         let key_allows = !is_bound || self.key_may_run(envelope);
         let is_withheld = (self.draining.get() && !is_bound) || self.has_relinquish_request(&envelope.id);
         let is_released = !is_withheld && self.clock.ms() >= self.recovery_hold_until_ms.get();
@@ -270,7 +270,7 @@
 
     fn conclude(self: &Rc<Self>, id: &str, verdict: Verdict, max_attempts: u32) {
         let now = wall_ms();
-        let end = |outcome| End { id: id.to_string(), outcome, at: now };
+        let end = |outcome| FinalRecord { id: id.to_string(), outcome, at: now };
         let failed = self.queue.borrow().owned(id).map_or(0, |known| known.attempts);
         match verdict {
             Verdict::Completed(signature) => self.finish(end(Outcome::Completed { signature })),
@@ -280,7 +280,7 @@
                 let attempts = failed + 1;
                 let delay = (FAILED_RETRY_MS << attempts.min(8)).min(MAX_FAILED_RETRY_MS);
                 self.queue.borrow_mut().retry(id, attempts, now + delay);
-                let entry = Entry::Failed { id: id.to_string(), attempts };
+                let entry = Entry::AttemptFailed { id: id.to_string(), attempts };
                 self.log.write_later(&entry);
                 self.send_to_holders(id, &entry);
             }
--- a/crates/node/src/store/finished_copies.rs
+++ b/crates/node/src/store/finished_copies.rs
@@ -5,8 +5,8 @@
 use super::Store;
 use futures_channel::oneshot;
 use net::runtime;
-use queue::custody;
-use queue::{Entry, GivenEnded};
+use queue::replication;
+use queue::{Entry, FinishedTransfer};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     /// Whether a finished message that still owes something lacks copies.
     pub fn lacks_finished_copies(&self) -> bool {
         let (queue, placement) = (self.queue.borrow(), self.placement());
-        let lacks = custody::lacking_ended(&queue, &placement).next().is_some();
+        let lacks = replication::under_replicated_finished(&queue, &placement).next().is_some();
         lacks
     }
 
@@ -50,10 +50,10 @@
     async fn copy_finished_batch(self: &Rc<Self>) -> bool {
         let mut sent = Vec::new();
         for (given, replicators) in self.next_batch() {
-            let id = given.ended.id().to_string();
+            let id = given.finished.id().to_string();
             for replicator in replicators {
-                if self.queue.borrow_mut().send_ended(&id, replicator.disk) {
-                    let entry = Entry::EndedMessage { owner: self.disk, given: given.clone() };
+                if self.queue.borrow_mut().begin_finished_copy(&id, replicator.disk) {
+                    let entry = Entry::FinishedMessage { owner: self.disk, transfer: given.clone() };
                     sent.push(PendingCopy {
                         id: id.clone(),
                         disk: replicator.disk,
@@ -65,7 +65,7 @@
         let mut any_kept = false;
         for PendingCopy { id, disk, acknowledged } in sent {
             if acknowledged.await.unwrap_or(false) {
-                self.queue.borrow_mut().copy_kept(&id, disk);
+                self.queue.borrow_mut().confirm_copy(&id, disk);
                 any_kept = true;
             }
         }
@@ -74,22 +74,23 @@
     }
 
     /// The next messages that lack copies, as many as fit one batch, with the stores to send them to.
-    fn next_batch(&self) -> Vec<(GivenEnded, Vec<Rc<Replicator>>)> {
+    fn next_batch(&self) -> Vec<(FinishedTransfer, Vec<Rc<Replicator>>)> {
         let placement = self.placement();
         let replicators = self.ready_replicators();
         let queue = self.queue.borrow();
         let (mut batch, mut bytes) = (Vec::new(), 0);
-        for owned in custody::lacking_ended(&queue, &placement).take(MAX_BATCH_MESSAGES) {
-            let missing = placement.missing(&owned.copies);
-            let others = replicators.iter().filter(|replicator| !owned.copies.contains(&replicator.disk));
+        for owned in replication::under_replicated_finished(&queue, &placement).take(MAX_BATCH_MESSAGES) {
+            let missing = placement.missing_copies(&owned.confirmed_holders);
+            let others =
+                replicators.iter().filter(|replicator| !owned.confirmed_holders.contains(&replicator.disk));
             let to = placement.choose(
                 others.cloned().collect(),
                 |c: &Rc<Replicator>| c.disk,
-                &owned.copies,
+                &owned.confirmed_holders,
                 missing,
             );
             bytes += owned.body_bytes() * to.len();
-            batch.extend(custody::given_ended(owned).map(|given| (given, to)));
+            batch.extend(replication::finished_transfer(owned).map(|given| (given, to)));
             if bytes >= MAX_BATCH_BYTES {
                 break;
             }
--- a/crates/node/src/store/intake.rs
+++ b/crates/node/src/store/intake.rs
@@ -30,7 +30,7 @@
         if self.paused.get() {
             return Some(Refusal::Stopping);
         }
-        let key = envelope.home_key()?;
+        let key = envelope.partition_key()?;
         let owner = self.cluster.stores().owner(key.digest()).map(|store| store.disk);
         let decides = owner == Some(self.disk) && self.can_decide_operations();
         (!decides).then_some(Refusal::NotOwner)
@@ -38,7 +38,7 @@
 
     /// Why a message can't be accepted although this store may decide about it.
     pub(super) fn acceptance_refusal(&self, envelope: &Envelope) -> Option<Refusal> {
-        if self.draining.get() && envelope.home_key().is_none() {
+        if self.draining.get() && envelope.partition_key().is_none() {
             return Some(Refusal::Stopping);
         }
         if self.has_relinquished(&envelope.id) {
@@ -55,7 +55,7 @@
 
     fn is_memory_full(&self) -> bool {
         let max_bytes = (self.settings.limits.memory_mb as f64 * MAX_MEMORY_SHARE * 1_048_576.0) as usize;
-        self.queue.borrow().bytes() > max_bytes
+        self.queue.borrow().body_bytes() > max_bytes
     }
 
     fn next_order(&self) -> u64 {
@@ -96,7 +96,7 @@
     /// requires.
     pub(super) async fn accept_message(self: &Rc<Self>, mut message: Message) -> PutAnswer {
         let id = message.id().to_string();
-        Rc::make_mut(&mut message.envelope).order = self.next_order();
+        Rc::make_mut(&mut message.envelope).sequence = self.next_order();
         let entry = Entry::Message { owner: self.disk, message: message.clone() };
         if !self.queue.borrow_mut().add(message.clone()) {
             return PutAnswer::Unclear;
@@ -138,7 +138,7 @@
     pub async fn activate(self: Rc<Self>, message: Message) {
         match self.request_relinquish(&message).await {
             RelinquishResponse::Relinquished { unanswered } => {
-                self.queue.borrow_mut().accept(message.id());
+                self.queue.borrow_mut().mark_replicated(message.id());
                 unanswered.into_iter().for_each(|disk| self.require_reconciliation(disk));
                 // A recovered or adopted message may lack copies.
                 if self.missing_copies(message.id(), &self.placement()) > 0 {
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -137,7 +137,7 @@
     /// Whether finished messages are being copied.
     copying_finished: Cell<bool>,
     /// Unavailable stores, and whether the copies of their messages have been restored.
-    pub absences: RefCell<queue::custody::Absences>,
+    pub absences: RefCell<queue::replication::AbsenceTracker>,
     /// Epoch of the last view of the stores that this store has applied.
     view_epoch: Cell<u64>,
     /// This store is being retired.
@@ -180,7 +180,7 @@
         .context("the setting DataDir is missing; set it to a folder on the store's disk")?;
     let mut queue = Queue::default();
     let shape = log::ring_shape(process.settings.limits.disk_mb);
-    let log = log::Log::open(Path::new(&folder), shape, &mut |entry| queue.recover(entry))?;
+    let log = log::Log::open(Path::new(&folder), shape, &mut |entry| queue.replay(entry))?;
     let clients = StoreClients {
         peers: Peers::default(),
         endpoints: Client::counted_as("deliveries"),
@@ -222,17 +222,17 @@
                 log.write(&[Entry::Disk(disk)]).await,
                 "the disk can't be written; check its space and health"
             );
-            queue.recover(Entry::Disk(disk));
+            queue.replay(Entry::Disk(disk));
         }
         // The disk identity tells own messages from copies, so it must be the first record that recovery
         // reads.
         log.set_preamble(&Entry::Disk(queue.disk()));
-        let superseded = queue.settle_operations();
-        let recovered_also_sent = queue.recovered();
+        let superseded = queue.relinquish_duplicates();
+        let recovered_also_sent = queue.finish_recovery();
         let live = queue.all_owned().filter(|owned| owned.is_live());
         let recovered = live.map(|owned| owned.id().to_string()).collect();
         let started = process.clock.ms();
-        let relinquished = queue.take_left().into_iter().map(|id| (id, started)).collect();
+        let relinquished = queue.take_relinquished().into_iter().map(|id| (id, started)).collect();
         let taken_over = queue.taken_over().clone();
         let settings = process.settings.clone();
         let store = Rc::new(Store {
@@ -244,7 +244,7 @@
             cluster: Known::new(settings.seed_ips()),
             peers: Rc::new(clients.peers),
             log,
-            last_order: Cell::new(queue.highest_order() + MAX_UNSYNCED_ORDERS),
+            last_order: Cell::new(queue.highest_sequence() + MAX_UNSYNCED_ORDERS),
             queue: RefCell::new(queue),
             recovered: RefCell::new(recovered),
             recovered_also_sent: RefCell::new(recovered_also_sent),
@@ -282,9 +282,9 @@
             settings,
         });
         store.record_superseded(superseded);
-        let queue::Counts { waiting, ended, replicas, .. } = store.queue.borrow().counts();
+        let queue::Counts { waiting, finished, replicas, .. } = store.queue.borrow().counts();
         ::log::info!(
-            "disk {:016x}: {waiting} messages waiting, {ended} finished, {replicas} copies",
+            "disk {:016x}: {waiting} messages waiting, {finished} finished, {replicas} copies",
             store.disk
         );
         Ok(store)
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -8,8 +8,8 @@
 use crate::calls::{PutAnswer, Refusal};
 use net::runtime;
 use net::wake::Watched;
-use queue::rivals::{self, Settled};
-use queue::{Entry, Envelope, Given, GivenEnded, Message, OwnedMessage, Stage, TenantKey};
+use queue::duplicates::{self, Resolution};
+use queue::{Entry, Envelope, FinishedTransfer, Message, MessageTransfer, OwnedMessage, Stage, TenantKey};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -160,7 +160,7 @@
             return Some(PutAnswer::Refused(refusal));
         }
         // A holder may have returned a message that this store's disk has lost.
-        if self.queue.borrow().of_operation(operation).is_some() {
+        if self.queue.borrow().message_of_operation(operation).is_some() {
             return None;
         }
         let answer = self.accept_message(message.clone()).await;
@@ -175,7 +175,7 @@
             return OperationState::InProgress;
         }
         let queue = self.queue.borrow();
-        match queue.of_operation(operation) {
+        match queue.message_of_operation(operation) {
             None => OperationState::Unknown,
             Some(owned) if self.has_acceptance_copies(owned) => {
                 OperationState::Replicated(owned.id().to_string())
@@ -186,8 +186,8 @@
 
     /// Whether a message, unfinished or finished, is on as many disks as an acknowledgement requires.
     fn has_acceptance_copies(&self, owned: &OwnedMessage) -> bool {
-        let is_written = owned.stage() != Some(Stage::Copying);
-        is_written && self.acceptance_placement().missing(&owned.copies) == 0
+        let is_written = owned.stage() != Some(Stage::Replicating);
+        is_written && self.acceptance_placement().missing_copies(&owned.confirmed_holders) == 0
     }
 
     /// Whether this store knows all that is known of its operations: it has collected everything from lost
@@ -208,20 +208,21 @@
 
     /// Removes messages whose operation has another message that takes precedence, and relinquishes own
     /// messages that lose to one of `given`.
-    pub(super) fn settle_operations(&self, given: Vec<Given>) -> Vec<Given> {
-        let Settled { open, superseded, displaced } = rivals::settle(&self.queue.borrow(), given);
+    pub(super) fn settle_operations(&self, given: Vec<MessageTransfer>) -> Vec<MessageTransfer> {
+        let Resolution { to_adopt, superseded, displaced } =
+            duplicates::resolve_duplicates(&self.queue.borrow(), given);
         self.reservations.count(|counts| counts.superseded += displaced.len());
         self.relinquish(displaced, RelinquishReason::Superseded);
         self.record_superseded(superseded);
-        open
+        to_adopt
     }
 
     /// Relinquishes own unstarted messages of the same operations as finished messages that are about to be
     /// adopted.
-    pub(super) fn relinquish_duplicates_of(&self, given: &[GivenEnded]) {
+    pub(super) fn relinquish_duplicates_of(&self, given: &[FinishedTransfer]) {
         let rivals: Vec<String> = {
             let queue = self.queue.borrow();
-            let rivals = given.iter().filter_map(|given| queue.rival(given.ended.envelope()));
+            let rivals = given.iter().filter_map(|given| queue.duplicate_of(given.finished.envelope()));
             rivals.filter(|rival| rival.is_live()).map(|rival| rival.id().to_string()).collect()
         };
         self.reservations.count(|counts| counts.superseded += rivals.len());
--- a/crates/node/src/store/ownership.rs
+++ b/crates/node/src/store/ownership.rs
@@ -5,7 +5,7 @@
 use crate::calls::Call;
 use net::runtime;
 use net::wake::Watched;
-use queue::{custody, Given};
+use queue::{replication, MessageTransfer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub struct Classified {
     /// Unresolved: they may be adopted.
-    pub unresolved: Vec<Given>,
+    pub unresolved: Vec<MessageTransfer>,
     /// Resolved at this store.
     pub resolved_here: Vec<String>,
     /// Resolved at another active store.
@@ -52,7 +52,7 @@
 impl Store {
     /// Classifies messages that this store may adopt by whether any store owns them or knows them as
     /// finished.
-    pub async fn classify(self: &Rc<Self>, given: Vec<Given>, policy: RetryPolicy) -> Classified {
+    pub async fn classify(self: &Rc<Self>, given: Vec<MessageTransfer>, policy: RetryPolicy) -> Classified {
         let unresolved: BTreeSet<String> = self.unresolved_here(&given).into_iter().collect();
         let ids = unresolved.iter().cloned().collect();
         let (elsewhere, _) = self.resolved_elsewhere(ids, policy).await;
@@ -69,10 +69,10 @@
     }
 
     /// Ids of messages that this store neither owns nor knows as finished.
-    pub fn unresolved_here(&self, given: &[Given]) -> Vec<String> {
+    pub fn unresolved_here(&self, given: &[MessageTransfer]) -> Vec<String> {
         let ids: Vec<String> = given.iter().map(|given| given.message.id().to_string()).collect();
         let here: BTreeSet<String> =
-            custody::decided(&self.queue.borrow(), ids.clone()).into_iter().collect();
+            replication::accepted_or_finished(&self.queue.borrow(), ids.clone()).into_iter().collect();
         ids.into_iter().filter(|id| !here.contains(id)).collect()
     }
 
--- a/crates/node/src/store/quota.rs
+++ b/crates/node/src/store/quota.rs
@@ -6,9 +6,11 @@
 use crate::calls::{CountRequest, Refusal};
 use net::runtime;
 use queue::Message;
-use quota::grant::{self, Candidate, Reply, Token};
-use quota::ledger::Known;
-use quota::{Counted, Counters, Denial, Grant, Ledger, Ms, Progress, Return, Want};
+use quota::ledger::TenantLimit;
+use quota::quorum::{self, Candidate, CounterReply, Token};
+use quota::{
+    Counters, Denial, Ledger, Ms, Progress, QuorumRequest, TokenRequest, TokenResponse, TokenReturn,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -71,13 +73,13 @@
         }
         let now = self.clock.ms();
         let asked_ms = now.saturating_sub(news_age.as_millis() as Ms);
-        self.quotas.ledger.borrow_mut().heard(&stores.owners, asked_ms, now);
+        self.quotas.ledger.borrow_mut().update_members(&stores.owners, asked_ms, now);
     }
 
-    fn limit_of(&self, tenant: &str) -> Known {
+    fn limit_of(&self, tenant: &str) -> TenantLimit {
         match self.cluster.configuration().tenant(tenant) {
-            Some(tenant) => tenant.quota().map_or(Known::Unlimited, Known::Limited),
-            None => Known::Unknown,
+            Some(tenant) => tenant.quota().map_or(TenantLimit::Unlimited, TenantLimit::Limited),
+            None => TenantLimit::Unknown,
         }
     }
 
@@ -85,19 +87,19 @@
     pub(super) async fn count(self: &Rc<Self>, message: &Message) -> Result<(), Refusal> {
         let Some(tenant) = &message.envelope.tenant else { return Ok(()) };
         let started_at = runtime::now();
-        match self.wait_for_limit(tenant, message.envelope.version, started_at).await {
-            Known::Unlimited => return Ok(()),
-            Known::Unknown => return Err(Refusal::NotCounted),
-            Known::Limited(_) => {}
+        match self.wait_for_limit(tenant, message.envelope.config_version, started_at).await {
+            TenantLimit::Unlimited => return Ok(()),
+            TenantLimit::Unknown => return Err(Refusal::NotCounted),
+            TenantLimit::Limited(_) => {}
         }
         if self.is_over_quota(tenant) {
             return Err(Refusal::OverQuota);
         }
         match self.collect_quorum(tenant, started_at).await {
             Ok(()) => Ok(()),
-            Err(Denial::NotCounted) => Err(Refusal::NotCounted),
-            Err(Denial::OverQuota { for_ms }) => {
-                let until = self.clock.ms() + for_ms;
+            Err(Denial::QuorumUnavailable) => Err(Refusal::NotCounted),
+            Err(Denial::OverQuota { refuse_for_ms }) => {
+                let until = self.clock.ms() + refuse_for_ms;
                 self.quotas.over_quota_until.borrow_mut().insert(tenant.clone(), until);
                 Err(Refusal::OverQuota)
             }
@@ -106,12 +108,12 @@
 
     /// The limit of a tenant. If the edge used a newer configuration than this store has, waits for that
     /// one.
-    async fn wait_for_limit(&self, tenant: &str, version: u64, started_at: Instant) -> Known {
+    async fn wait_for_limit(&self, tenant: &str, version: u64, started_at: Instant) -> TenantLimit {
         loop {
             let seen = self.cluster.changes.get();
             let limit = self.limit_of(tenant);
             let left = TOKEN_TIMEOUT.saturating_sub(runtime::elapsed(started_at));
-            if limit != Known::Unknown || self.cluster.version() >= version || left.is_zero() {
+            if limit != TenantLimit::Unknown || self.cluster.version() >= version || left.is_zero() {
                 return limit;
             }
             let _ = runtime::timeout(left, self.cluster.changes.changed(seen)).await;
@@ -126,16 +128,18 @@
     /// Asks counters for tokens until a quorum has granted one each or a quorum is out of reach.
     async fn collect_quorum(self: &Rc<Self>, tenant: &str, started_at: Instant) -> Result<(), Denial> {
         let counters = self.quotas.ledger.borrow().counters(tenant);
-        let mut grant = Grant::new(&counters, &self.counter_order(tenant, &counters));
+        let mut grant = QuorumRequest::new(&counters, &self.counter_order(tenant, &counters));
         let token_replies = Rc::new(TokenReplies::default());
         let mut wait = LATE_AFTER;
-        while grant.progress() == Progress::Open {
+        while grant.progress() == Progress::Pending {
             let seen = token_replies.changed.get();
-            let to_ask = grant.to_ask();
-            to_ask.iter().for_each(|disk| self.ask_counter(*disk, tenant, &counters, &token_replies));
+            let counters_to_ask = grant.counters_to_ask();
+            counters_to_ask
+                .iter()
+                .for_each(|disk| self.ask_counter(*disk, tenant, &counters, &token_replies));
             let replies = token_replies.take();
             if !replies.is_empty() {
-                replies.into_iter().for_each(|(disk, reply)| grant.heard(disk, reply));
+                replies.into_iter().for_each(|(disk, reply)| grant.record_reply(disk, reply));
                 continue;
             }
             let left = wait.saturating_sub(runtime::elapsed(started_at));
@@ -146,7 +150,7 @@
             if !answered {
                 wait = TOKEN_TIMEOUT;
                 grant
-                    .late()
+                    .mark_late()
                     .iter()
                     .for_each(|disk| self.quotas.connections.mark_unresponsive(*disk, self.clock.ms()));
             }
@@ -160,19 +164,19 @@
     fn conclude_grant(
         self: &Rc<Self>,
         tenant: &str,
-        mut grant: Grant,
+        mut grant: QuorumRequest,
         started_at: Instant,
     ) -> Result<(), Denial> {
         let in_time = runtime::elapsed(started_at) <= TOKEN_TIMEOUT;
         if !in_time {
-            grant.give_up();
+            grant.abandon();
         }
-        let unused = grant.to_give_back();
+        let unused = grant.unused_tokens();
         unused.into_iter().for_each(|token| self.return_token(tenant, token));
         match grant.progress() {
             Progress::Granted => Ok(()),
             Progress::Denied(denial) => Err(denial),
-            Progress::Open => Err(grant.denial()),
+            Progress::Pending => Err(grant.denial()),
         }
     }
 
@@ -180,13 +184,13 @@
         let stores = self.cluster.stores();
         let now = self.clock.ms();
         let candidate = |disk: &u64| {
-            let (silent, plenty) = self.quotas.connections.last_known_state(*disk, tenant, now);
+            let (unresponsive, above_half) = self.quotas.connections.last_known_state(*disk, tenant, now);
             let distance = stores.get(*disk).map(|store| store.location.distance(&self.location) as u32);
-            Candidate { disk: *disk, silent, plenty, distance: distance.unwrap_or(u32::MAX) }
+            Candidate { disk: *disk, unresponsive, above_half, distance: distance.unwrap_or(u32::MAX) }
         };
         let turn = self.quotas.next_turn.get();
         self.quotas.next_turn.set(turn.wrapping_add(1));
-        grant::order(counters.disks().iter().map(candidate).collect(), turn)
+        quorum::ask_order(counters.disks().iter().map(candidate).collect(), turn)
     }
 
     /// Asks one counter for a token; this store itself without a call.
@@ -197,7 +201,7 @@
         counters: &Counters,
         token_replies: &Rc<TokenReplies>,
     ) {
-        let want = Want { tenant: tenant.to_string(), counters: counters.digest(), tokens: 1 };
+        let want = TokenRequest { tenant: tenant.to_string(), counters_digest: counters.digest(), tokens: 1 };
         if disk != self.disk {
             return self.queue_request(disk, want, token_replies.clone());
         }
@@ -207,27 +211,27 @@
 
     /// Returns a token that no message used.
     pub(super) fn return_token(self: &Rc<Self>, tenant: &str, token: Token) {
-        let returned = Return { tenant: tenant.to_string(), tokens: 1, taken: token.stamp };
+        let returned = TokenReturn { tenant: tenant.to_string(), tokens: 1, stamp: token.stamp };
         match token.disk == self.disk {
-            true => self.quotas.ledger.borrow_mut().take_back(&returned, self.clock.ms()),
+            true => self.quotas.ledger.borrow_mut().return_tokens(&returned, self.clock.ms()),
             false => self.queue_return(token.disk, returned),
         }
     }
 
-    fn count_locally(&self, want: &Want) -> Counted {
+    fn count_locally(&self, want: &TokenRequest) -> TokenResponse {
         let limit = self.limit_of(&want.tenant);
-        self.quotas.ledger.borrow_mut().count(want, limit, self.clock.ms())
+        self.quotas.ledger.borrow_mut().take_tokens(want, limit, self.clock.ms())
     }
 
     /// Answers a batch of token requests from another store.
-    pub(super) fn count_for_peer(&self, request: CountRequest) -> Vec<Counted> {
+    pub(super) fn count_for_peer(&self, request: CountRequest) -> Vec<TokenResponse> {
         self.record_members();
         let now = self.clock.ms();
         let mut ledger = self.quotas.ledger.borrow_mut();
-        request.returns.iter().for_each(|returned| ledger.take_back(returned, now));
+        request.returns.iter().for_each(|returned| ledger.return_tokens(returned, now));
         if now >= self.quotas.expired_at.get() + EXPIRY_INTERVAL_MS {
             self.quotas.expired_at.set(now);
-            ledger.forget_idle(now);
+            ledger.remove_idle(now);
         }
         drop(ledger);
         request.wants.iter().map(|want| self.count_locally(want)).collect()
@@ -237,7 +241,7 @@
     pub(super) fn tenants_near_limits(&self) -> serde_json::Value {
         let near = self.quotas.ledger.borrow_mut().near_limit(NEAR_LIMIT_SHARE, self.clock.ms());
         let shown = near.into_iter().map(|used| {
-            let share = (used.share * 100.0).round() / 100.0;
+            let share = (used.used_share * 100.0).round() / 100.0;
             serde_json::json!({"tenant": used.tenant, "used": share, "refused": used.refused})
         });
         shown.collect()
@@ -245,11 +249,11 @@
 }
 
 /// The reply to the message at position `place` of a batch.
-pub(super) fn reply_for(counted: Counted, place: u32) -> Reply {
+pub(super) fn reply_for(counted: TokenResponse, place: u32) -> CounterReply {
     match counted {
-        Counted::Taken { tokens, stamp, .. } if place < tokens => Reply::Token(stamp),
-        Counted::Taken { short_ms, .. } => Reply::Short(short_ms),
-        Counted::NoLimit => Reply::NoLimit,
-        Counted::NotHere => Reply::NotCounted,
+        TokenResponse::Granted { tokens, stamp, .. } if place < tokens => CounterReply::Token(stamp),
+        TokenResponse::Granted { next_token_ms, .. } => CounterReply::Exhausted(next_token_ms),
+        TokenResponse::NoLimit => CounterReply::NoLimit,
+        TokenResponse::NotCounting => CounterReply::Unavailable,
     }
 }
--- a/crates/node/src/store/quota_calls.rs
+++ b/crates/node/src/store/quota_calls.rs
@@ -5,8 +5,8 @@
 use crate::calls::{Call, CountRequest};
 use net::runtime;
 use net::wake::Watched;
-use quota::grant::{Reply, Token};
-use quota::{Counted, Ms, Return, Want};
+use quota::quorum::{CounterReply, Token};
+use quota::{Ms, TokenRequest, TokenResponse, TokenReturn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct TokenReplies {
     /// Replies by the disk of the counter.
-    replies: RefCell<Vec<(u64, Reply)>>,
+    replies: RefCell<Vec<(u64, CounterReply)>>,
     /// Signals new replies.
     pub changed: Watched,
     /// The grant is concluded: further tokens are returned.
@@ -28,7 +28,7 @@
 
 impl TokenReplies {
     /// Adds the reply of a counter; false if it isn't needed any more.
-    pub fn add(&self, disk: u64, reply: Reply) -> bool {
+    pub fn add(&self, disk: u64, reply: CounterReply) -> bool {
         if self.concluded.get() {
             return false;
         }
@@ -38,14 +38,14 @@
     }
 
     /// The replies since the last call.
-    pub fn take(&self) -> Vec<(u64, Reply)> {
+    pub fn take(&self) -> Vec<(u64, CounterReply)> {
         self.replies.take()
     }
 }
 
 /// A message that waits for one counter.
 struct Waiting {
-    want: Want,
+    want: TokenRequest,
     token_replies: Rc<TokenReplies>,
 }
 
@@ -54,7 +54,7 @@
 struct CounterConnection {
     waiting: RefCell<Vec<Waiting>>,
     /// Unused tokens to return.
-    returns: RefCell<Vec<Return>>,
+    returns: RefCell<Vec<TokenReturn>>,
     call_in_progress: Cell<bool>,
     unresponsive_until: Cell<Ms>,
     /// Tenants whose bucket was more than half full at the last reply.
@@ -63,7 +63,7 @@
 
 /// Requests of one tenant in a batch.
 struct Group {
-    want: Want,
+    want: TokenRequest,
     messages: Vec<Rc<TokenReplies>>,
 }
 
@@ -72,8 +72,8 @@
     fn take_waiting(&self) -> Vec<Group> {
         let mut groups: BTreeMap<(String, u64), Group> = BTreeMap::new();
         for Waiting { want, token_replies } in self.waiting.take() {
-            let key = (want.tenant.clone(), want.counters);
-            let new = || Group { want: Want { tokens: 0, ..want.clone() }, messages: Vec::new() };
+            let key = (want.tenant.clone(), want.counters_digest);
+            let new = || Group { want: TokenRequest { tokens: 0, ..want.clone() }, messages: Vec::new() };
             let group = groups.entry(key).or_insert_with(new);
             group.want.tokens += want.tokens;
             group.messages.push(token_replies);
@@ -81,10 +81,11 @@
         groups.into_values().collect()
     }
 
-    fn take_returns(&self) -> Vec<Return> {
-        let mut returns: Vec<Return> = Vec::new();
+    fn take_returns(&self) -> Vec<TokenReturn> {
+        let mut returns: Vec<TokenReturn> = Vec::new();
         for returned in self.returns.take() {
-            let same = |other: &&mut Return| other.tenant == returned.tenant && other.taken == returned.taken;
+            let same =
+                |other: &&mut TokenReturn| other.tenant == returned.tenant && other.stamp == returned.stamp;
             match returns.iter_mut().find(same) {
                 Some(other) => other.tokens += returned.tokens,
                 None => returns.push(returned),
@@ -119,13 +120,18 @@
 
 impl Store {
     /// Queues a token request for the next call to a counter.
-    pub(super) fn queue_request(self: &Rc<Self>, disk: u64, want: Want, token_replies: Rc<TokenReplies>) {
+    pub(super) fn queue_request(
+        self: &Rc<Self>,
+        disk: u64,
+        want: TokenRequest,
+        token_replies: Rc<TokenReplies>,
+    ) {
         self.quotas.connections.to(disk).waiting.borrow_mut().push(Waiting { want, token_replies });
         self.call_counter(disk);
     }
 
     /// Queues an unused token for the next call to its counter.
-    pub(super) fn queue_return(self: &Rc<Self>, disk: u64, returned: Return) {
+    pub(super) fn queue_return(self: &Rc<Self>, disk: u64, returned: TokenReturn) {
         self.quotas.connections.to(disk).returns.borrow_mut().push(returned);
         self.call_counter(disk);
     }
@@ -153,14 +159,14 @@
         disk: u64,
         connection: &CounterConnection,
         groups: Vec<Group>,
-        returns: Vec<Return>,
+        returns: Vec<TokenReturn>,
     ) {
         let wants = groups.iter().map(|group| group.want.clone()).collect();
         let call = Call::Count(CountRequest { wants, returns });
         let answer = match self.cluster.store(disk) {
             Some(store) => {
                 let to = SocketAddr::new(store.ip, self.port);
-                self.peers.call::<Call, Vec<Counted>>(to, &call, TOKEN_TIMEOUT).await.ok()
+                self.peers.call::<Call, Vec<TokenResponse>>(to, &call, TOKEN_TIMEOUT).await.ok()
             }
             None => None,
         };
@@ -170,9 +176,9 @@
         }
         let mut counted = answer.unwrap_or_default().into_iter();
         for group in groups {
-            let counted = counted.next().unwrap_or(Counted::NotHere);
-            if let Counted::Taken { plenty, .. } = counted {
-                connection.plenty.borrow_mut().insert(group.want.tenant.clone(), plenty);
+            let counted = counted.next().unwrap_or(TokenResponse::NotCounting);
+            if let TokenResponse::Granted { above_half, .. } = counted {
+                connection.plenty.borrow_mut().insert(group.want.tenant.clone(), above_half);
             }
             self.distribute_replies(disk, &group, counted);
         }
@@ -180,11 +186,11 @@
 
     /// Passes a counter's answer to each message of a group; tokens that aren't needed any more are
     /// returned.
-    fn distribute_replies(self: &Rc<Self>, disk: u64, group: &Group, counted: Counted) {
+    fn distribute_replies(self: &Rc<Self>, disk: u64, group: &Group, counted: TokenResponse) {
         for (place, token_replies) in group.messages.iter().enumerate() {
             let reply = reply_for(counted, place as u32);
             let needed = token_replies.add(disk, reply);
-            if let (false, Reply::Token(stamp)) = (needed, reply) {
+            if let (false, CounterReply::Token(stamp)) = (needed, reply) {
                 self.return_token(&group.want.tenant, Token { disk, stamp });
             }
         }
--- a/crates/node/src/store/relinquish.rs
+++ b/crates/node/src/store/relinquish.rs
@@ -59,7 +59,7 @@
     /// Asks the stores that received a message before this one, or their successors, to relinquish it.
     pub async fn request_relinquish(&self, message: &Message) -> RelinquishResponse {
         let view = self.cluster.stores();
-        let owners = message.envelope.also_at.iter().filter_map(|disk| view.final_successor(*disk));
+        let owners = message.envelope.also_sent_to.iter().filter_map(|disk| view.final_successor(*disk));
         let others: BTreeSet<u64> = owners.filter(|disk| *disk != self.disk).collect();
         let mut unanswered = Vec::new();
         for disk in others {
@@ -185,7 +185,7 @@
     /// them when it learns this. Any request from the owner to relinquish one of them is outdated from now
     /// on.
     pub(super) fn announce_accepted(&self, owner: u64) -> Vec<String> {
-        let mut accepted = self.queue.borrow().taken_from(owner);
+        let mut accepted = self.queue.borrow().accepted_also_sent_to(owner);
         accepted.retain(|id| !self.has_relinquish_request(id));
         let (mut acceptance_notices, now) = (self.acceptance_notices.borrow_mut(), self.clock.ms());
         for id in &accepted {
@@ -208,7 +208,7 @@
         for id in accepted {
             let entry = Entry::Dropped { owner: self.disk, id: id.clone() };
             let holders = self.holders(&id);
-            if self.queue.borrow_mut().leave(&id) {
+            if self.queue.borrow_mut().relinquish(&id) {
                 self.log.write_later(&entry);
                 self.send_to(&holders, &entry);
                 self.relinquished.borrow_mut().insert(id.clone(), self.clock.ms());
--- a/crates/node/src/store/replicator.rs
+++ b/crates/node/src/store/replicator.rs
@@ -12,8 +12,8 @@
 use futures_channel::oneshot;
 use net::runtime;
 use net::wake::Notify;
-use queue::custody::{self, Reconciled};
-use queue::{End, Entry, Given, HeldIds};
+use queue::replication::{self, Reconciliation};
+use queue::{Entry, FinalRecord, HeldIds, MessageTransfer};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -198,7 +198,7 @@
         let finished_ids: Vec<String> = entries.iter().filter_map(finished_id).collect();
         let acknowledged = self.replicate(store, entries, REPLICATE_TIMEOUT).await;
         if acknowledged {
-            store.queue.borrow_mut().told(self.disk, &finished_ids);
+            store.queue.borrow_mut().mark_notified(self.disk, &finished_ids);
         } else {
             self.ready.set(false);
         }
@@ -237,7 +237,7 @@
             taken.extend(piece.taken);
             after = piece.held.last().cloned().unwrap_or_default();
             held.live.extend(piece.held.live);
-            held.ended.extend(piece.held.ended);
+            held.finished.extend(piece.held.finished);
             if !piece.more {
                 return Some((held, taken));
             }
@@ -249,17 +249,17 @@
     async fn reconcile(&self, store: &Rc<Store>) -> bool {
         let Some((held, taken)) = self.request_held(store).await else { return false };
         store.relinquish(taken, RelinquishReason::AcceptedAt(self.disk));
-        let Reconciled { ends, unknown, ended_there } =
-            custody::reconcile(&mut store.queue.borrow_mut(), self.disk, &held);
+        let Reconciliation { missed_entries, unknown, finished_there } =
+            replication::reconcile(&mut store.queue.borrow_mut(), self.disk, &held);
         self.catching_up.set(true);
-        for ends in ends.chunks(MAX_FINAL_RECORDS_PER_CALL) {
+        for ends in missed_entries.chunks(MAX_FINAL_RECORDS_PER_CALL) {
             let finished_ids: Vec<String> = ends.iter().filter_map(finished_id).collect();
             if !self.replicate(store, ends.to_vec(), RECONCILE_TIMEOUT).await {
                 return false;
             }
-            store.queue.borrow_mut().told(self.disk, &finished_ids);
+            store.queue.borrow_mut().mark_notified(self.disk, &finished_ids);
         }
-        if !ended_there.is_empty() && !self.fetch_outcomes(store, ended_there).await {
+        if !finished_there.is_empty() && !self.fetch_outcomes(store, finished_there).await {
             return false;
         }
         // Of a completed message the peer keeps only the final record and doesn't list the message.
@@ -279,7 +279,8 @@
     async fn fetch_outcomes(&self, store: &Rc<Store>, ids: Vec<String>) -> bool {
         for ids in ids.chunks(MAX_FINAL_RECORDS_PER_CALL) {
             let call = Call::Ends { ids: ids.to_vec() };
-            let Ok(ends) = store.peers.call::<Call, Vec<End>>(self.address, &call, RECONCILE_TIMEOUT).await
+            let Ok(ends) =
+                store.peers.call::<Call, Vec<FinalRecord>>(self.address, &call, RECONCILE_TIMEOUT).await
             else {
                 return false;
             };
@@ -306,8 +307,10 @@
         log::info!("only on disk {:016x}: {}", self.disk, summarize_ids(&ids));
         while !ids.is_empty() {
             let call = Call::Fetch { ids: ids.clone() };
-            let Ok((given, processed)) =
-                store.peers.call::<Call, (Vec<Given>, u64)>(self.address, &call, RECONCILE_TIMEOUT).await
+            let Ok((given, processed)) = store
+                .peers
+                .call::<Call, (Vec<MessageTransfer>, u64)>(self.address, &call, RECONCILE_TIMEOUT)
+                .await
             else {
                 return false;
             };
@@ -339,7 +342,7 @@
 
 fn finished_id(entry: &Entry) -> Option<String> {
     match entry {
-        Entry::Ended(end) => Some(end.id.clone()),
+        Entry::Finished(end) => Some(end.id.clone()),
         _ => None,
     }
 }
--- a/crates/node/src/store/rpc_handlers.rs
+++ b/crates/node/src/store/rpc_handlers.rs
@@ -4,8 +4,8 @@
 use crate::calls::{Call, EndedPiece, Found, HeldFor, Holder, Piece};
 use crate::process;
 use crate::traffic;
-use queue::custody;
-use queue::{End, Entry, Given, GivenEnded, Queue};
+use queue::replication;
+use queue::{Entry, FinalRecord, FinishedTransfer, MessageTransfer, Queue};
 use std::net::IpAddr;
 use std::rc::Rc;
 
@@ -34,7 +34,7 @@
 fn tenant_of(queue: &Queue, id: &str) -> Holder {
     let owned = queue.owned(id).map(|owned| owned.envelope().clone());
     let live = || queue.message(id).map(|message| message.envelope.clone());
-    let ended = || queue.ended_replica(id).map(|(_, given)| given.ended.envelope().clone());
+    let ended = || queue.finished_replica(id).map(|(_, given)| given.finished.envelope().clone());
     match owned.or_else(live).or_else(ended).map(|envelope| envelope.tenant.clone()) {
         Some(Some(tenant)) => Holder::Tenant(tenant),
         Some(None) => Holder::Nobody,
@@ -43,14 +43,14 @@
 }
 
 /// As many unfinished messages as fit one answer.
-pub fn message_batch(messages: impl Iterator<Item = Given>) -> Piece {
+pub fn message_batch(messages: impl Iterator<Item = MessageTransfer>) -> Piece {
     let (given, more) = take_batch(messages, |given| given.message.body.len());
     Piece { given, more }
 }
 
 /// As many finished messages as fit one answer.
-pub fn finished_batch(messages: impl Iterator<Item = GivenEnded>) -> EndedPiece {
-    let (given, more) = take_batch(messages, |given| given.ended.body_bytes());
+pub fn finished_batch(messages: impl Iterator<Item = FinishedTransfer>) -> EndedPiece {
+    let (given, more) = take_batch(messages, |given| given.finished.body_bytes());
     EndedPiece { given, more }
 }
 
@@ -71,9 +71,11 @@
             Call::InheritEnded { lost, after } => encode(&self.finished_takeover_piece(lost, &after)),
             Call::Claimed { lost } => encode(&self.release_lost_copies(lost)),
             Call::Leaving { disk } => encode(&self.on_peer_departure(disk)),
-            Call::Lacking { owner, ids } => encode(&custody::lacking_of(&self.queue.borrow(), owner, &ids)),
+            Call::Lacking { owner, ids } => {
+                encode(&replication::missing_ids(&self.queue.borrow(), owner, &ids))
+            }
             Call::Preserve { owner, preserved } => encode(&self.preserve_for(owner, preserved).await),
-            Call::Decided { ids } => encode(&custody::decided(&self.queue.borrow(), ids)),
+            Call::Decided { ids } => encode(&replication::accepted_or_finished(&self.queue.borrow(), ids)),
             Call::HandBack { owner, given, anyway } => {
                 encode(&self.accept_hand_back(owner, given, anyway).await)
             }
@@ -100,7 +102,7 @@
     /// reconcile first, or sends in an outdated session. A store that is about to stop accepts no more
     /// messages, but still the final records of those that it has.
     async fn keep_records(self: &Rc<Self>, owner: u64, session: u64, entries: Vec<Entry>) -> bool {
-        self.absences.borrow_mut().heard(owner, self.clock.ms());
+        self.absences.borrow_mut().record_call(owner, self.clock.ms());
         if self.is_refused(owner) || self.absences.borrow().must_reconcile(owner) {
             return false;
         }
@@ -112,7 +114,8 @@
             return false;
         }
         let entries = self.finish_own(entries);
-        let (kept, must_be_durable) = custody::keep(&mut self.queue.borrow_mut(), owner, entries);
+        let (kept, must_be_durable) =
+            replication::apply_owner_entries(&mut self.queue.borrow_mut(), owner, entries);
         if must_be_durable {
             return self.log.write(&kept).await;
         }
@@ -127,10 +130,10 @@
         for entry in entries {
             let owned = entry.id().is_some_and(|id| self.queue.borrow().owned(id).is_some());
             match entry {
-                Entry::Ended(end) if owned => self.finish(end),
-                Entry::EndedMessage { owner, given } if owned => {
-                    self.finish(given.ended.end());
-                    others.push(Entry::EndedMessage { owner, given });
+                Entry::Finished(end) if owned => self.finish(end),
+                Entry::FinishedMessage { owner, transfer } if owned => {
+                    self.finish(transfer.finished.final_record());
+                    others.push(Entry::FinishedMessage { owner, transfer });
                 }
                 other => others.push(other),
             }
@@ -150,21 +153,21 @@
             return None;
         }
         let mut absences = self.absences.borrow_mut();
-        absences.heard(owner, self.clock.ms());
+        absences.record_call(owner, self.clock.ms());
         let queue = self.queue.borrow();
-        let (held, more) = queue.held_for(owner).after(after, MAX_IDS_PER_CALL);
+        let (held, more) = queue.held_for(owner).page_after(after, MAX_IDS_PER_CALL);
         if !more {
-            absences.reconciled(owner);
+            absences.mark_reconciled(owner);
         }
         let taken = if after.is_empty() { self.announce_accepted(owner) } else { Vec::new() };
         Some(HeldFor { held, more, taken, leaving: self.draining.get() })
     }
 
     /// Copies by id, as many as fit one answer, and the number of ids that the answer covers.
-    pub(super) fn copies_by_id(&self, ids: &[String]) -> (Vec<Given>, u64) {
+    pub(super) fn copies_by_id(&self, ids: &[String]) -> (Vec<MessageTransfer>, u64) {
         let queue = self.queue.borrow();
         let Piece { given, more } =
-            message_batch(ids.iter().filter_map(|id| queue.replica(id)).map(Given::from));
+            message_batch(ids.iter().filter_map(|id| queue.replica(id)).map(MessageTransfer::from));
         let last = given.last().map(|given| given.message.id());
         let processed = match more {
             true => ids.iter().position(|id| Some(id.as_str()) == last).map_or(ids.len(), |at| at + 1),
@@ -190,13 +193,13 @@
         queue
             .fenced()
             .contains(&lost)
-            .then(|| message_batch(queue.replicas_after(lost, after).map(Given::from)))
+            .then(|| message_batch(queue.replicas_after(lost, after).map(MessageTransfer::from)))
     }
 
     /// A batch of the finished messages held for a lost store, once its records are refused.
     pub(super) fn finished_takeover_piece(&self, lost: u64, after: &str) -> Option<EndedPiece> {
         let queue = self.queue.borrow();
-        queue.fenced().contains(&lost).then(|| finished_batch(queue.ended_after(lost, after)))
+        queue.fenced().contains(&lost).then(|| finished_batch(queue.finished_after(lost, after)))
     }
 
     fn release_lost_copies(&self, lost: u64) -> bool {
@@ -205,10 +208,10 @@
         }
         let mut queue = self.queue.borrow_mut();
         let live = queue.replicas_of(lost).map(|replica| replica.message.id().to_string());
-        let ended = queue.ended_after(lost, "").map(|given| given.ended.id().to_string());
+        let ended = queue.finished_after(lost, "").map(|given| given.finished.id().to_string());
         let ids: Vec<String> = live.chain(ended).collect();
         for id in ids {
-            queue.drop_replica_of(lost, &id);
+            queue.drop_replica(lost, &id);
             self.log.write_later(&Entry::Dropped { owner: lost, id });
         }
         true
@@ -219,22 +222,22 @@
         let message = queue.message(id);
         let body = message.filter(|_| body).and_then(|message| self.sound_body(message));
         let known = queue.owned(id).is_some() || message.is_some();
-        Found { known, holder: tenant_of(&queue, id), end: queue.end_of(id), body }
+        Found { known, holder: tenant_of(&queue, id), end: queue.final_record_of(id), body }
     }
 
     /// Final records that are known here for some messages.
-    pub(super) fn final_records(&self, ids: &[String]) -> Vec<End> {
+    pub(super) fn final_records(&self, ids: &[String]) -> Vec<FinalRecord> {
         let queue = self.queue.borrow();
-        ids.iter().filter_map(|id| queue.end_of(id)).collect()
+        ids.iter().filter_map(|id| queue.final_record_of(id)).collect()
     }
 
     fn status(&self) -> String {
-        let queue::Counts { waiting, running, ended, replicas } = self.queue.borrow().counts();
-        let oldest = self.queue.borrow().oldest().map(|at| process::wall_ms().saturating_sub(at));
+        let queue::Counts { waiting, running, finished, replicas } = self.queue.borrow().counts();
+        let oldest = self.queue.borrow().oldest_received_at().map(|at| process::wall_ms().saturating_sub(at));
         let status = serde_json::json!({
             "node": self.settings.node_name, "disk": format!("{:016x}", self.disk),
             "version": self.cluster.version(), "stores": self.cluster.stores().epoch,
-            "waiting": waiting, "running": running, "ended": ended, "copies": replicas,
+            "waiting": waiting, "running": running, "ended": finished, "copies": replicas,
             "oldest_ms": oldest, "backlog": self.backlog(), "free_ring": self.log.free_share(),
             "taking_over": self.takeovers.borrow().len(),
             "operations": self.reservations.counts().as_json(),
--- a/crates/node/src/store/shutdown.rs
+++ b/crates/node/src/store/shutdown.rs
@@ -7,7 +7,7 @@
 use crate::watch::HOLD;
 use net::rpc::RpcError;
 use net::runtime;
-use queue::{custody, Given, GivenEnded, Stage};
+use queue::{replication, FinishedTransfer, MessageTransfer, Stage};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
     fn log_unacknowledged(&self) {
         let (queue, available) = (self.queue.borrow(), self.available_disks());
         for owned in queue.all_owned() {
-            let disks = owned.untold.intersection(&available).map(|disk| format!("{disk:016x}"));
+            let disks = owned.unnotified.intersection(&available).map(|disk| format!("{disk:016x}"));
             let disks: Vec<String> = disks.collect();
             if !disks.is_empty() {
                 log::warn!(
@@ -163,7 +163,7 @@
     fn all_records_acknowledged(&self) -> bool {
         let (available, replicators) = (self.available_disks(), self.replicators.borrow());
         let queue = self.queue.borrow();
-        let all_acknowledged = queue.all_owned().all(|owned| owned.untold.is_disjoint(&available));
+        let all_acknowledged = queue.all_owned().all(|owned| owned.unnotified.is_disjoint(&available));
         all_acknowledged
             && available
                 .iter()
@@ -175,7 +175,7 @@
     fn running_with_key(&self) -> usize {
         let queue = self.queue.borrow();
         let runs = queue.all_owned().filter(|owned| owned.stage() == Some(Stage::Running));
-        runs.filter(|owned| owned.envelope().home_key().is_some()).count()
+        runs.filter(|owned| owned.envelope().partition_key().is_some()).count()
     }
 
     /// Other stores took over from this disk while it was unavailable. Messages on it may exist nowhere
@@ -200,8 +200,8 @@
         let view = self.cluster.stores();
         let mut all_safe = true;
         for owner in view.stores.iter().filter(|store| store.declared_lost) {
-            let messages = custody::messages_of(&self.queue.borrow(), owner.disk);
-            let ended = custody::ended_of(&self.queue.borrow(), owner.disk);
+            let messages = replication::live_transfers(&self.queue.borrow(), owner.disk);
+            let ended = replication::finished_transfers(&self.queue.borrow(), owner.disk);
             if messages.is_empty() && ended.is_empty() {
                 continue;
             }
@@ -222,7 +222,7 @@
         &self,
         successor: &control::Store,
         owner: u64,
-        messages: Vec<Given>,
+        messages: Vec<MessageTransfer>,
         anyway: bool,
     ) -> Result<bool, RpcError> {
         let to = SocketAddr::new(successor.ip, self.port);
@@ -242,7 +242,7 @@
         &self,
         successor: &control::Store,
         owner: u64,
-        messages: Vec<GivenEnded>,
+        messages: Vec<FinishedTransfer>,
     ) -> Result<bool, RpcError> {
         let to = SocketAddr::new(successor.ip, self.port);
         let mut remaining = &messages[..];
@@ -267,7 +267,7 @@
     pub(super) async fn accept_finished_hand_back(
         self: &Rc<Self>,
         owner: u64,
-        given: Vec<GivenEnded>,
+        given: Vec<FinishedTransfer>,
     ) -> bool {
         if !self.can_accept_hand_back(owner) {
             return false;
@@ -286,7 +286,7 @@
     pub(super) async fn accept_hand_back(
         self: &Rc<Self>,
         owner: u64,
-        mut given: Vec<Given>,
+        mut given: Vec<MessageTransfer>,
         anyway: bool,
     ) -> bool {
         if !self.can_accept_hand_back(owner) {
