--- a/crates/node/src/store/intake.rs
+++ b/crates/node/src/store/intake.rs
@@ -58,11 +58,11 @@
         self.queue.borrow().body_bytes() > max_bytes
     }
 
-    fn next_order(&self) -> u64 {
+    fn next_sequence(&self) -> u64 {
         let epoch = self.cluster.stores().epoch << 32;
-        let order = (self.last_order.get() + 1).max(epoch);
-        self.last_order.set(order);
-        order
+        let sequence = (self.last_sequence.get() + 1).max(epoch);
+        self.last_sequence.set(sequence);
+        sequence
     }
 
     /// Answers an edge that sends a message.
@@ -96,7 +96,7 @@
     /// requires.
     pub(super) async fn accept_message(self: &Rc<Self>, mut message: Message) -> PutAnswer {
         let id = message.id().to_string();
-        Rc::make_mut(&mut message.envelope).sequence = self.next_order();
+        Rc::make_mut(&mut message.envelope).sequence = self.next_sequence();
         let entry = Entry::Message { owner: self.disk, message: message.clone() };
         if !self.queue.borrow_mut().add(message.clone()) {
             return PutAnswer::Unclear;
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -68,9 +68,9 @@
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long recovered messages are held back at most while other stores report whether they accepted them.
 const RECOVERY_HOLD_MS: u64 = 1_200;
-/// Upper bound on the order numbers that an earlier process may have assigned and sent to other stores
+/// Upper bound on the sequence numbers that an earlier process may have assigned and sent to other stores
 /// without a record of them on its disk.
-const MAX_UNSYNCED_ORDERS: u64 = 1 << 16;
+const MAX_UNSYNCED_SEQUENCES: u64 = 1 << 16;
 /// Part of the shutdown grace period that is reserved for the end of the process.
 const SHUTDOWN_RESERVE_S: f64 = 0.9;
 
@@ -163,8 +163,8 @@
     pub paused: Cell<bool>,
     /// The last records are written: no record is accepted any more.
     log_closed: Cell<bool>,
-    /// Last order number that was assigned.
-    last_order: Cell<u64>,
+    /// Last sequence number that was assigned.
+    last_sequence: Cell<u64>,
 }
 
 /// Starts the store role.
@@ -244,7 +244,7 @@
             cluster: Known::new(settings.seed_ips()),
             peers: Rc::new(clients.peers),
             log,
-            last_order: Cell::new(queue.highest_sequence() + MAX_UNSYNCED_ORDERS),
+            last_sequence: Cell::new(queue.highest_sequence() + MAX_UNSYNCED_SEQUENCES),
             queue: RefCell::new(queue),
             recovered: RefCell::new(recovered),
             recovered_also_sent: RefCell::new(recovered_also_sent),
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -220,13 +220,16 @@
     /// Relinquishes own unstarted messages of the same operations as finished messages that are about to be
     /// adopted.
     pub(super) fn relinquish_duplicates_of(&self, given: &[FinishedTransfer]) {
-        let rivals: Vec<String> = {
+        let duplicates: Vec<String> = {
             let queue = self.queue.borrow();
-            let rivals = given.iter().filter_map(|given| queue.duplicate_of(given.finished.envelope()));
-            rivals.filter(|rival| rival.is_live()).map(|rival| rival.id().to_string()).collect()
+            let duplicates = given.iter().filter_map(|given| queue.duplicate_of(given.finished.envelope()));
+            duplicates
+                .filter(|duplicate| duplicate.is_live())
+                .map(|duplicate| duplicate.id().to_string())
+                .collect()
         };
-        self.reservations.count(|counts| counts.superseded += rivals.len());
-        self.relinquish(rivals, RelinquishReason::Superseded);
+        self.reservations.count(|counts| counts.superseded += duplicates.len());
+        self.relinquish(duplicates, RelinquishReason::Superseded);
     }
 
     /// Records messages that lost to another one of their operation, so that they are neither owned nor
--- a/crates/node/src/store/quota.rs
+++ b/crates/node/src/store/quota.rs
@@ -128,55 +128,55 @@
     /// Asks counters for tokens until a quorum has granted one each or a quorum is out of reach.
     async fn collect_quorum(self: &Rc<Self>, tenant: &str, started_at: Instant) -> Result<(), Denial> {
         let counters = self.quotas.ledger.borrow().counters(tenant);
-        let mut grant = QuorumRequest::new(&counters, &self.counter_order(tenant, &counters));
+        let mut quorum_request = QuorumRequest::new(&counters, &self.counter_order(tenant, &counters));
         let token_replies = Rc::new(TokenReplies::default());
-        let mut wait = LATE_AFTER;
-        while grant.progress() == Progress::Pending {
+        let mut deadline = LATE_AFTER;
+        while quorum_request.progress() == Progress::Pending {
             let seen = token_replies.changed.get();
-            let counters_to_ask = grant.counters_to_ask();
+            let counters_to_ask = quorum_request.counters_to_ask();
             counters_to_ask
                 .iter()
                 .for_each(|disk| self.ask_counter(*disk, tenant, &counters, &token_replies));
             let replies = token_replies.take();
             if !replies.is_empty() {
-                replies.into_iter().for_each(|(disk, reply)| grant.record_reply(disk, reply));
+                replies.into_iter().for_each(|(disk, reply)| quorum_request.record_reply(disk, reply));
                 continue;
             }
-            let left = wait.saturating_sub(runtime::elapsed(started_at));
+            let left = deadline.saturating_sub(runtime::elapsed(started_at));
             let answered = runtime::timeout(left, token_replies.changed.changed(seen)).await.is_ok();
-            if !answered && wait == TOKEN_TIMEOUT {
+            if !answered && deadline == TOKEN_TIMEOUT {
                 break;
             }
             if !answered {
-                wait = TOKEN_TIMEOUT;
-                grant
+                deadline = TOKEN_TIMEOUT;
+                quorum_request
                     .mark_late()
                     .iter()
                     .for_each(|disk| self.quotas.connections.mark_unresponsive(*disk, self.clock.ms()));
             }
         }
         token_replies.concluded.set(true);
-        self.conclude_grant(tenant, grant, started_at)
+        self.conclude_request(tenant, quorum_request, started_at)
     }
 
-    /// Returns unused tokens. Tokens of a grant that took too long are unused as well: they were counted in
+    /// Returns unused tokens. Tokens of a request that took too long are unused as well: they were counted in
     /// an earlier period, say before a pause of this process.
-    fn conclude_grant(
+    fn conclude_request(
         self: &Rc<Self>,
         tenant: &str,
-        mut grant: QuorumRequest,
+        mut quorum_request: QuorumRequest,
         started_at: Instant,
     ) -> Result<(), Denial> {
         let in_time = runtime::elapsed(started_at) <= TOKEN_TIMEOUT;
         if !in_time {
-            grant.abandon();
+            quorum_request.abandon();
         }
-        let unused = grant.unused_tokens();
+        let unused = quorum_request.unused_tokens();
         unused.into_iter().for_each(|token| self.return_token(tenant, token));
-        match grant.progress() {
+        match quorum_request.progress() {
             Progress::Granted => Ok(()),
             Progress::Denied(denial) => Err(denial),
-            Progress::Pending => Err(grant.denial()),
+            Progress::Pending => Err(quorum_request.denial()),
         }
     }
 
@@ -205,8 +205,8 @@
         if disk != self.disk {
             return self.queue_request(disk, want, token_replies.clone());
         }
-        let counted = self.count_locally(&want);
-        token_replies.add(disk, reply_for(counted, 0));
+        let response = self.count_locally(&want);
+        token_replies.add(disk, reply_for(response, 0));
     }
 
     /// Returns a token that no message used.
@@ -249,8 +249,8 @@
 }
 
 /// The reply to the message at position `place` of a batch.
-pub(super) fn reply_for(counted: TokenResponse, place: u32) -> CounterReply {
-    match counted {
+pub(super) fn reply_for(response: TokenResponse, place: u32) -> CounterReply {
+    match response {
         TokenResponse::Granted { tokens, stamp, .. } if place < tokens => CounterReply::Token(stamp),
         TokenResponse::Granted { next_token_ms, .. } => CounterReply::Exhausted(next_token_ms),
         TokenResponse::NoLimit => CounterReply::NoLimit,
--- a/crates/node/src/store/quota_calls.rs
+++ b/crates/node/src/store/quota_calls.rs
@@ -22,7 +22,7 @@
     replies: RefCell<Vec<(u64, CounterReply)>>,
     /// Signals new replies.
     pub changed: Watched,
-    /// The grant is concluded: further tokens are returned.
+    /// The request is concluded: further tokens are returned.
     pub concluded: Cell<bool>,
 }
 
@@ -58,7 +58,7 @@
     call_in_progress: Cell<bool>,
     unresponsive_until: Cell<Ms>,
     /// Tenants whose bucket was more than half full at the last reply.
-    plenty: RefCell<HashMap<String, bool>>,
+    above_half: RefCell<HashMap<String, bool>>,
 }
 
 /// Requests of one tenant in a batch.
@@ -113,8 +113,8 @@
     /// full.
     pub fn last_known_state(&self, disk: u64, tenant: &str, now: Ms) -> (bool, bool) {
         let connection = self.to(disk);
-        let plenty = connection.plenty.borrow().get(tenant).copied().unwrap_or(false);
-        (now < connection.unresponsive_until.get(), plenty)
+        let above_half = connection.above_half.borrow().get(tenant).copied().unwrap_or(false);
+        (now < connection.unresponsive_until.get(), above_half)
     }
 }
 
@@ -174,21 +174,21 @@
             Some(_) => connection.unresponsive_until.set(0),
             None => self.quotas.connections.mark_unresponsive(disk, self.clock.ms()),
         }
-        let mut counted = answer.unwrap_or_default().into_iter();
+        let mut responses = answer.unwrap_or_default().into_iter();
         for group in groups {
-            let counted = counted.next().unwrap_or(TokenResponse::NotCounting);
-            if let TokenResponse::Granted { above_half, .. } = counted {
-                connection.plenty.borrow_mut().insert(group.want.tenant.clone(), above_half);
+            let response = responses.next().unwrap_or(TokenResponse::NotCounting);
+            if let TokenResponse::Granted { above_half, .. } = response {
+                connection.above_half.borrow_mut().insert(group.want.tenant.clone(), above_half);
             }
-            self.distribute_replies(disk, &group, counted);
+            self.distribute_replies(disk, &group, response);
         }
     }
 
     /// Passes a counter's answer to each message of a group; tokens that aren't needed any more are
     /// returned.
-    fn distribute_replies(self: &Rc<Self>, disk: u64, group: &Group, counted: TokenResponse) {
+    fn distribute_replies(self: &Rc<Self>, disk: u64, group: &Group, response: TokenResponse) {
         for (place, token_replies) in group.messages.iter().enumerate() {
-            let reply = reply_for(counted, place as u32);
+            let reply = reply_for(response, place as u32);
             let needed = token_replies.add(disk, reply);
             if let (false, CounterReply::Token(stamp)) = (needed, reply) {
                 self.return_token(&group.want.tenant, Token { disk, stamp });
--- a/crates/node/src/store/replicator.rs
+++ b/crates/node/src/store/replicator.rs
@@ -252,9 +252,9 @@
         let Reconciliation { missed_entries, unknown, finished_there } =
             replication::reconcile(&mut store.queue.borrow_mut(), self.disk, &held);
         self.catching_up.set(true);
-        for ends in missed_entries.chunks(MAX_FINAL_RECORDS_PER_CALL) {
-            let finished_ids: Vec<String> = ends.iter().filter_map(finished_id).collect();
-            if !self.replicate(store, ends.to_vec(), RECONCILE_TIMEOUT).await {
+        for records in missed_entries.chunks(MAX_FINAL_RECORDS_PER_CALL) {
+            let finished_ids: Vec<String> = records.iter().filter_map(finished_id).collect();
+            if !self.replicate(store, records.to_vec(), RECONCILE_TIMEOUT).await {
                 return false;
             }
             store.queue.borrow_mut().mark_notified(self.disk, &finished_ids);
@@ -279,16 +279,16 @@
     async fn fetch_outcomes(&self, store: &Rc<Store>, ids: Vec<String>) -> bool {
         for ids in ids.chunks(MAX_FINAL_RECORDS_PER_CALL) {
             let call = Call::Ends { ids: ids.to_vec() };
-            let Ok(ends) =
+            let Ok(records) =
                 store.peers.call::<Call, Vec<FinalRecord>>(self.address, &call, RECONCILE_TIMEOUT).await
             else {
                 return false;
             };
-            if !ends.is_empty() {
-                let ended: Vec<String> = ends.iter().map(|end| end.id.clone()).collect();
-                log::info!("finished according to disk {:016x}: {}", self.disk, summarize_ids(&ended));
+            if !records.is_empty() {
+                let finished_ids: Vec<String> = records.iter().map(|record| record.id.clone()).collect();
+                log::info!("finished according to disk {:016x}: {}", self.disk, summarize_ids(&finished_ids));
             }
-            ends.into_iter().for_each(|end| store.finish(end));
+            records.into_iter().for_each(|record| store.finish(record));
         }
         true
     }
@@ -342,7 +342,7 @@
 
 fn finished_id(entry: &Entry) -> Option<String> {
     match entry {
-        Entry::Finished(end) => Some(end.id.clone()),
+        Entry::Finished(record) => Some(record.id.clone()),
         _ => None,
     }
 }
--- a/crates/node/src/store/rpc_handlers.rs
+++ b/crates/node/src/store/rpc_handlers.rs
@@ -34,8 +34,8 @@
 fn tenant_of(queue: &Queue, id: &str) -> Holder {
     let owned = queue.owned(id).map(|owned| owned.envelope().clone());
     let live = || queue.message(id).map(|message| message.envelope.clone());
-    let ended = || queue.finished_replica(id).map(|(_, given)| given.finished.envelope().clone());
-    match owned.or_else(live).or_else(ended).map(|envelope| envelope.tenant.clone()) {
+    let finished = || queue.finished_replica(id).map(|(_, given)| given.finished.envelope().clone());
+    match owned.or_else(live).or_else(finished).map(|envelope| envelope.tenant.clone()) {
         Some(Some(tenant)) => Holder::Tenant(tenant),
         Some(None) => Holder::Nobody,
         None => Holder::Untold,
@@ -130,7 +130,7 @@
         for entry in entries {
             let owned = entry.id().is_some_and(|id| self.queue.borrow().owned(id).is_some());
             match entry {
-                Entry::Finished(end) if owned => self.finish(end),
+                Entry::Finished(record) if owned => self.finish(record),
                 Entry::FinishedMessage { owner, transfer } if owned => {
                     self.finish(transfer.finished.final_record());
                     others.push(Entry::FinishedMessage { owner, transfer });
@@ -208,8 +208,8 @@
         }
         let mut queue = self.queue.borrow_mut();
         let live = queue.replicas_of(lost).map(|replica| replica.message.id().to_string());
-        let ended = queue.finished_after(lost, "").map(|given| given.finished.id().to_string());
-        let ids: Vec<String> = live.chain(ended).collect();
+        let finished = queue.finished_after(lost, "").map(|given| given.finished.id().to_string());
+        let ids: Vec<String> = live.chain(finished).collect();
         for id in ids {
             queue.drop_replica(lost, &id);
             self.log.write_later(&Entry::Dropped { owner: lost, id });
--- a/crates/node/src/store/shutdown.rs
+++ b/crates/node/src/store/shutdown.rs
@@ -201,11 +201,11 @@
         let mut all_safe = true;
         for owner in view.stores.iter().filter(|store| store.declared_lost) {
             let messages = replication::live_transfers(&self.queue.borrow(), owner.disk);
-            let ended = replication::finished_transfers(&self.queue.borrow(), owner.disk);
-            if messages.is_empty() && ended.is_empty() {
+            let finished = replication::finished_transfers(&self.queue.borrow(), owner.disk);
+            if messages.is_empty() && finished.is_empty() {
                 continue;
             }
-            log::info!("handing back {} unfinished and {} finished messages", messages.len(), ended.len());
+            log::info!("handing back {} unfinished and {} finished messages", messages.len(), finished.len());
             let Some(successor) = view.final_successor(owner.disk).and_then(|successor| view.get(successor))
             else {
                 all_safe = false;
@@ -213,7 +213,7 @@
             };
             all_safe &=
                 self.hand_back_messages(successor, owner.disk, messages, anyway).await.is_ok_and(|safe| safe);
-            all_safe &= self.hand_back_finished(successor, owner.disk, ended).await.is_ok_and(|safe| safe);
+            all_safe &= self.hand_back_finished(successor, owner.disk, finished).await.is_ok_and(|safe| safe);
         }
         all_safe
     }
--- a/crates/node/src/store/takeover.rs
+++ b/crates/node/src/store/takeover.rs
@@ -188,11 +188,11 @@
         let is_live = |given: &FinishedTransfer| {
             self.queue.borrow().owned(given.finished.id()).is_some_and(|owned| owned.is_live())
         };
-        let (live, ended): (Vec<FinishedTransfer>, Vec<FinishedTransfer>) =
+        let (live, finished): (Vec<FinishedTransfer>, Vec<FinishedTransfer>) =
             given.into_iter().partition(is_live);
         live.iter().for_each(|given| self.finish(given.finished.final_record()));
-        self.relinquish_duplicates_of(&ended);
-        let (entries, new) = replication::adopt_finished(&mut self.queue.borrow_mut(), ended);
+        self.relinquish_duplicates_of(&finished);
+        let (entries, new) = replication::adopt_finished(&mut self.queue.borrow_mut(), finished);
         while !entries.is_empty() && !self.log.write(&entries).await {
             runtime::sleep(RETRY_DELAY).await;
         }
@@ -234,12 +234,12 @@
 
     /// Finishes a message: writes the final record, sends it to the holders of copies, and queues the
     /// call-back.
-    pub fn finish(self: &Rc<Self>, end: FinalRecord) {
-        let id = end.id.clone();
-        if !self.queue.borrow_mut().finish(end.clone()) {
+    pub fn finish(self: &Rc<Self>, record: FinalRecord) {
+        let id = record.id.clone();
+        if !self.queue.borrow_mut().finish(record.clone()) {
             return;
         }
-        self.send_to_holders(&id, &Entry::Finished(end.clone()));
+        self.send_to_holders(&id, &Entry::Finished(record.clone()));
         self.ensure_finished_copies(&id);
         let callback_envelope = self
             .queue
@@ -251,13 +251,13 @@
             Some(envelope) => {
                 let store = self.clone();
                 runtime::spawn(async move {
-                    while !store.log.write(&[Entry::Finished(end.clone())]).await {
+                    while !store.log.write(&[Entry::Finished(record.clone())]).await {
                         runtime::sleep(RETRY_DELAY).await;
                     }
-                    store.queue_callback(&envelope, &end.outcome);
+                    store.queue_callback(&envelope, &record.outcome);
                 });
             }
-            None => self.log.write_later(&Entry::Finished(end)),
+            None => self.log.write_later(&Entry::Finished(record)),
         }
     }
 
@@ -284,7 +284,7 @@
             let owing = queue.all_owned().filter(|owned| owned.callback_pending);
             owing.filter_map(OwnedMessage::finished_message).cloned().collect()
         };
-        owed.iter().for_each(|ended| self.queue_callback(ended.envelope(), &ended.outcome()));
+        owed.iter().for_each(|finished| self.queue_callback(finished.envelope(), &finished.outcome()));
     }
 
     /// Sends a record to the stores that hold copies of a message.
