--- a/crates/node/src/store/deliver.rs
+++ b/crates/node/src/store/deliver.rs
@@ -21,8 +21,8 @@
 const MIN_WAIT_MS: u64 = 2;
 /// Time beyond the route's timeout in which an answer is still accepted.
 const ANSWER_GRACE: Duration = Duration::from_millis(100);
-/// Delays before the next attempt of a message: the first and the longest after failures, after an unknown
-/// result, and after a delivery that was not executed.
+/// Delays before the next attempt of a message: after failures the base, which doubles with each, and the
+/// longest; after an unknown result; after a delivery that was not executed.
 const FAILED_RETRY_MS: u64 = 60;
 const MAX_FAILED_RETRY_MS: u64 = 500;
 const UNKNOWN_RETRY_MS: u64 = 60;
--- a/crates/node/src/store/endpoints.rs
+++ b/crates/node/src/store/endpoints.rs
@@ -9,7 +9,7 @@
 /// Assumed slots of an endpoint that hasn't reported any.
 const DEFAULT_SLOTS: usize = 16;
 const NANOS_PER_MS: i64 = 1_000_000;
-/// First and longest backoff after a failure.
+/// Base and longest backoff after failures; the base doubles with each failure in a row.
 const FAILURE_BACKOFF_MS: (u64, u64) = (50, 400);
 /// Backoff after an endpoint rejected a message because it is full.
 const FULL_BACKOFF_MS: u64 = 40;
