--- a/crates/node/src/store/absent_owners.rs
+++ b/crates/node/src/store/absent_owners.rs
@@ -46,13 +46,13 @@
         for (target, ids) in self.copy_targets(owner, &available) {
             let Some(target) = self.cluster.store(target) else { continue };
             let to = SocketAddr::new(target.ip, self.port);
-            all_sent &= self.preserve_at(to, owner, ids).await.is_some();
+            all_sent &= self.send_missing_copies(to, owner, ids).await.is_some();
         }
         self.absences.borrow_mut().replication_finished(owner, available, all_sent);
     }
 
-    /// The copies of an owner's messages that each other store should hold, as far as this store knows the
-    /// messages.
+    /// For each other store, the ids of the owner's messages that it should hold copies of. Covers only the
+    /// messages that this store knows.
     fn copy_targets(&self, owner: u64, available: &BTreeSet<u64>) -> BTreeMap<u64, MessageIds> {
         let view = self.cluster.stores();
         let is_remaining =
@@ -70,32 +70,33 @@
         replication::replication_targets(&self.queue.borrow(), owner, is_lost, &placement)
     }
 
-    /// Sends another store the copies it lacks; none if that failed.
-    async fn preserve_at(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<()> {
+    /// Asks another store which of these messages it lacks and sends it those; none if a call failed.
+    async fn send_missing_copies(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<()> {
         for live in ids.live.chunks(MAX_IDS_PER_CALL) {
             let query = MessageIds { live: live.to_vec(), ..MessageIds::default() };
-            let missing = self.query_missing(to, owner, query).await?.live;
+            let missing = self.request_missing_ids(to, owner, query).await?.live;
             let mut remaining = &missing[..];
             while !remaining.is_empty() {
                 let (live, processed) = self.copies_by_id(remaining);
                 remaining = &remaining[(processed as usize).clamp(1, remaining.len())..];
-                self.send_preserved(to, owner, ReplicaBatch { live, ..ReplicaBatch::default() }).await?;
+                self.send_replica_batch(to, owner, ReplicaBatch { live, ..ReplicaBatch::default() }).await?;
             }
         }
         for finished in ids.finished.chunks(MAX_IDS_PER_CALL) {
             let query = MessageIds { finished: finished.to_vec(), ..MessageIds::default() };
-            let mut missing = self.query_missing(to, owner, query).await?.finished.into_iter();
+            let mut missing = self.request_missing_ids(to, owner, query).await?.finished.into_iter();
             while missing.len() > 0 {
                 let finished = self.next_finished_batch(&mut missing);
-                self.send_preserved(to, owner, ReplicaBatch { finished, ..ReplicaBatch::default() }).await?;
+                self.send_replica_batch(to, owner, ReplicaBatch { finished, ..ReplicaBatch::default() })
+                    .await?;
             }
         }
         for final_records in ids.final_records.chunks(MAX_IDS_PER_CALL) {
             let query = MessageIds { final_records: final_records.to_vec(), ..MessageIds::default() };
-            let missing = self.query_missing(to, owner, query).await?.final_records;
+            let missing = self.request_missing_ids(to, owner, query).await?.final_records;
             for ids in missing.chunks(MAX_FINAL_RECORDS_PER_CALL) {
                 let final_records = self.final_records(ids);
-                self.send_preserved(to, owner, ReplicaBatch { final_records, ..ReplicaBatch::default() })
+                self.send_replica_batch(to, owner, ReplicaBatch { final_records, ..ReplicaBatch::default() })
                     .await?;
             }
         }
@@ -117,11 +118,11 @@
         finished
     }
 
-    async fn query_missing(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<MessageIds> {
+    async fn request_missing_ids(&self, to: SocketAddr, owner: u64, ids: MessageIds) -> Option<MessageIds> {
         self.peers.call::<Call, MessageIds>(to, &Call::Lacking { owner, ids }, PRESERVE_TIMEOUT).await.ok()
     }
 
-    async fn send_preserved(&self, to: SocketAddr, owner: u64, preserved: ReplicaBatch) -> Option<()> {
+    async fn send_replica_batch(&self, to: SocketAddr, owner: u64, preserved: ReplicaBatch) -> Option<()> {
         if preserved.is_empty() {
             return Some(());
         }
@@ -130,7 +131,7 @@
         kept.then_some(())
     }
 
-    /// Whether this store too can't reach an owner.
+    /// Whether an owner is absent according to this store as well.
     fn is_absent(&self, owner: u64) -> bool {
         let unresponsive = self
             .replicators
--- a/crates/node/src/store/copies.rs
+++ b/crates/node/src/store/copies.rs
@@ -97,7 +97,7 @@
             .collect()
     }
 
-    /// Describes which part of the tolerance the remaining stores can't provide.
+    /// Explains what the remaining stores lack for the configured failure tolerance; none if they suffice.
     pub fn unmet_tolerance(&self) -> Option<String> {
         let view = self.cluster.stores();
         let locations: Vec<&Location> = view.remaining().map(|store| &store.location).collect();
--- a/crates/node/src/store/deliver.rs
+++ b/crates/node/src/store/deliver.rs
@@ -13,19 +13,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval at which the concurrency limits of endpoints are updated (the control rate of the QoSmax paper).
+/// Interval at which the concurrency limits of endpoints are updated. The QoSmax paper, which describes the
+/// method, calls it the control rate.
 const CAP_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time between two passes over the routes.
 const MAX_IDLE_MS: u64 = 1_000;
 /// Shortest time between two passes over the routes.
 const MIN_WAIT_MS: u64 = 2;
-/// Time beyond the route's timeout in which an answer is still accepted.
+/// Time after the route's timeout during which an answer is still accepted.
 const ANSWER_GRACE: Duration = Duration::from_millis(100);
-/// Delays before the next attempt of a message: after failures the base, which doubles with each, and the
-/// longest; after an unknown result; after a delivery that was not executed.
+/// Base and longest delay before the next attempt after failures; the base doubles with each failure.
 const FAILED_RETRY_MS: u64 = 60;
 const MAX_FAILED_RETRY_MS: u64 = 500;
-const UNKNOWN_RETRY_MS: u64 = 60;
+/// Delay before the next attempt when it isn't known whether the message was executed.
+const UNKNOWN_RESULT_RETRY_MS: u64 = 60;
+/// Delay before the next attempt after a delivery that was not executed.
 const NOT_EXECUTED_RETRY_MS: u64 = 10;
 
 /// What the answer to a delivery, or its absence, means for the message.
@@ -80,7 +82,8 @@
     }
 }
 
-/// Slots of an endpoint that reports its load as three numbers: running requests, waiting requests, slots.
+/// Slots of an endpoint that reports its load in the header `X-Server-Load`, as three numbers separated by
+/// commas: running requests, waiting requests, slots.
 fn slots(answer: &Result<Response, CallError>) -> Option<usize> {
     let load = answer.as_ref().ok()?.header("x-server-load");
     load.split(',').nth(2)?.trim().parse().ok()
@@ -179,7 +182,7 @@
     /// delivered after its expiry.
     fn may_run(&self, envelope: &Envelope, now: u64) -> bool {
         let is_bound = envelope.partition_key().is_some();
-        let key_allows = !is_bound || self.key_may_run(envelope);
+        let key_allows = !is_bound || self.key_allows_delivery(envelope);
         let is_withheld = (self.draining.get() && !is_bound) || self.has_relinquish_request(&envelope.id);
         let is_released = !is_withheld && self.clock.ms() >= self.recovery_hold_until_ms.get();
         let may = key_allows && (envelope.ordered || is_released);
@@ -287,7 +290,7 @@
             Verdict::NotExecuted | Verdict::WrongInstance => {
                 self.queue.borrow_mut().retry(id, failed, now + NOT_EXECUTED_RETRY_MS);
             }
-            Verdict::Unknown => self.queue.borrow_mut().retry(id, failed, now + UNKNOWN_RETRY_MS),
+            Verdict::Unknown => self.queue.borrow_mut().retry(id, failed, now + UNKNOWN_RESULT_RETRY_MS),
         }
     }
 
--- a/crates/node/src/store/endpoints.rs
+++ b/crates/node/src/store/endpoints.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Index of a route's class at its service.
+    /// Index of a route in its service's list of routes, which is its class; `usize::MAX` if it isn't listed.
     pub fn class(&self, service: &str, route: &str) -> usize {
         let classes = self.classes.get(service);
         classes.and_then(|classes| classes.iter().position(|name| name == route)).unwrap_or(usize::MAX)
--- a/crates/node/src/store/log.rs
+++ b/crates/node/src/store/log.rs
@@ -61,14 +61,15 @@
     oldest: Option<SegmentId>,
 }
 
-struct Pending {
+/// A record that waits to be appended.
+struct PendingRecord {
     id: String,
     payload: Vec<u8>,
 }
 
 /// The log of one store.
 pub struct Log {
-    pending: RefCell<Vec<Pending>>,
+    pending: RefCell<Vec<PendingRecord>>,
     waiting: RefCell<Vec<oneshot::Sender<bool>>>,
     wake: Notify,
     disk: Rc<dyn Disk>,
@@ -81,7 +82,7 @@
     batch_started_at: Cell<Option<Instant>>,
 }
 
-/// Shape of the ring for a disk of this size.
+/// Number and size of the ring files for a disk of this size.
 pub fn ring_shape(disk_mb: f64) -> Shape {
     let segments = (disk_mb * DISK_SHARE * 1_048_576.0) as usize / SEGMENT_BYTES;
     Shape { segments: segments.max(MIN_SEGMENTS), segment_bytes: SEGMENT_BYTES }
@@ -196,7 +197,7 @@
 
     fn push(&self, entry: &Entry) {
         let payload = borsh::to_vec(entry).expect("writing to memory");
-        self.pending.borrow_mut().push(Pending { id: message_id_of(entry).to_string(), payload });
+        self.pending.borrow_mut().push(PendingRecord { id: message_id_of(entry).to_string(), payload });
     }
 
     /// How long the disk has been working on the current batch.
--- a/crates/node/src/store/mod.rs
+++ b/crates/node/src/store/mod.rs
@@ -142,12 +142,12 @@
     view_epoch: Cell<u64>,
     /// This store is being retired.
     retiring: Cell<bool>,
-    /// Retirement is complete: this store does nothing any more that other stores don't know of.
+    /// Retirement is complete: this store accepts and delivers nothing any more, and the available holders of
+    /// copies have acknowledged all its records.
     retirement_ready: Cell<bool>,
     /// This store was declared lost and hands back messages that may exist nowhere else.
     declared_lost: Cell<bool>,
-    /// Messages left to other stores that may still arrive here, with the time at which they were
-    /// relinquished.
+    /// Messages relinquished to other stores, with the time of that; they may still arrive here.
     relinquished: RefCell<HashMap<String, u64>>,
     /// Messages that this store has reported to other stores as accepted here.
     acceptance_notices: RefCell<HashMap<String, relinquish::AcceptanceNotice>>,
--- a/crates/node/src/store/operations.rs
+++ b/crates/node/src/store/operations.rs
@@ -197,9 +197,9 @@
         has_reconciled && self.has_applied_latest_view() && !self.is_collecting_takeovers()
     }
 
-    /// Whether a message's key allows its delivery: messages still to be collected in a takeover may have
-    /// the same ordering key or operation key.
-    pub(super) fn key_may_run(&self, envelope: &Envelope) -> bool {
+    /// Whether a message with an ordering key or operation key may be delivered now: not while this store
+    /// may still receive another message with the same key, from a takeover or from a holder of copies.
+    pub(super) fn key_allows_delivery(&self, envelope: &Envelope) -> bool {
         match envelope.operation_key.is_some() {
             true => self.can_decide_operations(),
             false => self.has_applied_latest_view() && !self.lacks_taken_over_messages(),
--- a/crates/node/src/store/quota.rs
+++ b/crates/node/src/store/quota.rs
@@ -18,7 +18,7 @@
 
 /// A counter that hasn't answered after this time is late, and another one is asked in its place.
 const LATE_AFTER: Duration = Duration::from_millis(60);
-/// A message without a quorum of tokens by then isn't counted.
+/// Time limit for collecting a quorum of tokens; a message without one by then isn't counted.
 pub(super) const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval at which full buckets are dropped.
 const EXPIRY_INTERVAL_MS: Ms = 5_000;
@@ -33,7 +33,7 @@
     pub(super) connections: CounterConnections,
     /// Tenants that were over their quota at a counter, and until when.
     over_quota_until: RefCell<HashMap<String, Ms>>,
-    /// Round-robin counter for choosing counters.
+    /// Round-robin position at which the order of asking counters starts.
     next_turn: Cell<usize>,
     /// When full buckets were last dropped.
     expired_at: Cell<Ms>,
--- a/crates/node/src/store/quota_calls.rs
+++ b/crates/node/src/store/quota_calls.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A counter that didn't answer in time is asked after the others for this long.
+/// How long a counter that didn't answer in time is asked only after the others.
 const UNRESPONSIVE_MS: Ms = 300;
 
 /// Replies to the token requests of one message.
@@ -100,19 +100,20 @@
 pub struct CounterConnections(RefCell<BTreeMap<u64, Rc<CounterConnection>>>);
 
 impl CounterConnections {
-    fn to(&self, disk: u64) -> Rc<CounterConnection> {
+    /// The connection to the counter with this disk; created if there is none.
+    fn get_or_create(&self, disk: u64) -> Rc<CounterConnection> {
         self.0.borrow_mut().entry(disk).or_default().clone()
     }
 
     /// Marks a counter that didn't answer in time.
     pub fn mark_unresponsive(&self, disk: u64, now: Ms) {
-        self.to(disk).unresponsive_until.set(now + UNRESPONSIVE_MS);
+        self.get_or_create(disk).unresponsive_until.set(now + UNRESPONSIVE_MS);
     }
 
     /// Whether a counter is marked as unresponsive, and whether a tenant's bucket there was more than half
     /// full.
     pub fn last_known_state(&self, disk: u64, tenant: &str, now: Ms) -> (bool, bool) {
-        let connection = self.to(disk);
+        let connection = self.get_or_create(disk);
         let above_half = connection.above_half.borrow().get(tenant).copied().unwrap_or(false);
         (now < connection.unresponsive_until.get(), above_half)
     }
@@ -126,35 +127,41 @@
         want: TokenRequest,
         token_replies: Rc<TokenReplies>,
     ) {
-        self.quotas.connections.to(disk).waiting.borrow_mut().push(Waiting { want, token_replies });
+        self.quotas
+            .connections
+            .get_or_create(disk)
+            .waiting
+            .borrow_mut()
+            .push(Waiting { want, token_replies });
         self.call_counter(disk);
     }
 
     /// Queues an unused token for the next call to its counter.
     pub(super) fn queue_return(self: &Rc<Self>, disk: u64, returned: TokenReturn) {
-        self.quotas.connections.to(disk).returns.borrow_mut().push(returned);
+        self.quotas.connections.get_or_create(disk).returns.borrow_mut().push(returned);
         self.call_counter(disk);
     }
 
     fn call_counter(self: &Rc<Self>, disk: u64) {
-        let connection = self.quotas.connections.to(disk);
+        let connection = self.quotas.connections.get_or_create(disk);
         if !connection.call_in_progress.replace(true) {
-            runtime::spawn(self.clone().call_until_empty(disk, connection));
+            runtime::spawn(self.clone().send_waiting_batches(disk, connection));
         }
     }
 
-    async fn call_until_empty(self: Rc<Self>, disk: u64, connection: Rc<CounterConnection>) {
+    /// Sends what waits for a counter, one batch after the other, until nothing waits.
+    async fn send_waiting_batches(self: Rc<Self>, disk: u64, connection: Rc<CounterConnection>) {
         loop {
             let (groups, returns) = (connection.take_waiting(), connection.take_returns());
             if groups.is_empty() && returns.is_empty() {
                 break;
             }
-            self.call_once(disk, &connection, groups, returns).await;
+            self.send_batch(disk, &connection, groups, returns).await;
         }
         connection.call_in_progress.set(false);
     }
 
-    async fn call_once(
+    async fn send_batch(
         self: &Rc<Self>,
         disk: u64,
         connection: &CounterConnection,
--- a/crates/node/src/store/rates.rs
+++ b/crates/node/src/store/rates.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Used share of a service's rate.
+/// Share of a service's rate that all stores together use.
 const USED_RATE_SHARE: f64 = 0.97;
 /// Upper bound on the permits that a store holds at once.
 const MAX_BURST_PERMITS: f64 = 3.0;
--- a/crates/node/src/store/relinquish.rs
+++ b/crates/node/src/store/relinquish.rs
@@ -115,9 +115,10 @@
     }
 
     /// Handles a request to relinquish a message to the store `to`, which has accepted it; false if
-    /// delivery has started here. The message isn't delivered here meanwhile, but is kept until the
-    /// requester confirms that it still owns it: a delayed request may come from a store that has since
-    /// relinquished the message itself, to a third store or to this one.
+    /// delivery has started here, or if `to` was told that the message was accepted here: the request is then
+    /// outdated. The message isn't delivered here meanwhile, but is kept until the requester confirms that it
+    /// still owns it: a delayed request may come from a store that has since relinquished the message itself,
+    /// to a third store or to this one.
     pub fn on_relinquish_request(self: &Rc<Self>, id: &str, to: u64) -> bool {
         let has_started = |owned: &OwnedMessage| matches!(owned.stage(), Some(Stage::Running) | None);
         let started = self.queue.borrow().owned(id).is_some_and(has_started);
--- a/crates/node/src/store/replicator.rs
+++ b/crates/node/src/store/replicator.rs
@@ -36,7 +36,7 @@
 pub const HEDGE_AFTER: Duration = Duration::from_millis(40);
 
 /// A record that waits to be sent.
-struct Pending {
+struct PendingRecord {
     entry: Entry,
     /// Informed whether the record is durable on the peer.
     acknowledgement: Option<oneshot::Sender<bool>>,
@@ -47,7 +47,7 @@
     /// The peer's disk.
     pub disk: u64,
     address: SocketAddr,
-    pending: RefCell<VecDeque<Pending>>,
+    pending: RefCell<VecDeque<PendingRecord>>,
     wake: Notify,
     /// The comparison is done and the peer answers.
     ready: Cell<bool>,
@@ -130,7 +130,7 @@
     /// Sends a record; the receiver reports whether it is durable on the peer.
     pub fn replicate_entry(&self, entry: Entry) -> oneshot::Receiver<bool> {
         let (sender, receiver) = oneshot::channel();
-        self.pending.borrow_mut().push_back(Pending { entry, acknowledgement: Some(sender) });
+        self.pending.borrow_mut().push_back(PendingRecord { entry, acknowledgement: Some(sender) });
         self.wake.notify();
         receiver
     }
@@ -138,7 +138,7 @@
     /// Sends a record without waiting for an acknowledgement.
     pub fn enqueue(&self, entry: Entry) {
         if self.ready.get() || self.catching_up.get() {
-            self.pending.borrow_mut().push_back(Pending { entry, acknowledgement: None });
+            self.pending.borrow_mut().push_back(PendingRecord { entry, acknowledgement: None });
             self.wake.notify();
         }
     }
@@ -174,7 +174,7 @@
     }
 
     /// The next records to send, limited to what the peer can write within the timeout.
-    fn next_batch(&self) -> Vec<Pending> {
+    fn next_batch(&self) -> Vec<PendingRecord> {
         let mut pending = self.pending.borrow_mut();
         let (mut batch, mut bytes) = (Vec::new(), 0);
         while let Some(next) = pending.pop_front_if(|_| bytes < MAX_BATCH_BYTES) {
@@ -192,7 +192,7 @@
         }
     }
 
-    async fn send(&self, store: &Rc<Store>, batch: Vec<Pending>) {
+    async fn send(&self, store: &Rc<Store>, batch: Vec<PendingRecord>) {
         let (entries, acknowledgements): (Vec<Entry>, Vec<_>) =
             batch.into_iter().map(|p| (p.entry, p.acknowledgement)).unzip();
         let finished_ids: Vec<String> = entries.iter().filter_map(finished_id).collect();
--- a/crates/node/src/store/shutdown.rs
+++ b/crates/node/src/store/shutdown.rs
@@ -26,8 +26,9 @@
 const HAND_BACK_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Delay between two attempts to hand back.
 const HAND_BACK_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// After this time the successor accepts messages even if other stores don't answer.
-const HAND_BACK_PATIENCE_MS: u64 = 6_000;
+/// For this long a successor accepts messages only if all other active stores answer; after that it accepts
+/// them even if some don't.
+const HAND_BACK_ALL_ANSWERS_MS: u64 = 6_000;
 /// How long to wait for deliveries in progress before the hand-back.
 const RUNNING_DELIVERIES_WAIT_MS: u64 = 2_000;
 /// How long a successor waits for the copies of messages that are handed back.
@@ -189,7 +190,7 @@
         while self.running_deliveries.get() > 0 && self.clock.ms() < started_at + RUNNING_DELIVERIES_WAIT_MS {
             runtime::sleep(Duration::from_millis(5)).await;
         }
-        while !self.hand_back_all(self.clock.ms() > started_at + HAND_BACK_PATIENCE_MS).await {
+        while !self.hand_back_all(self.clock.ms() > started_at + HAND_BACK_ALL_ANSWERS_MS).await {
             runtime::sleep(HAND_BACK_RETRY_DELAY).await;
         }
         self.restart_empty().await;
@@ -281,8 +282,8 @@
     }
 
     /// Accepts messages from a store that was declared lost, except those that an active store owns or
-    /// knows as finished. Returns true once they are safe. All stores must answer first, unless `anyway` is
-    /// set.
+    /// knows as finished. Returns true once they are safe. If an active store doesn't answer, nothing is
+    /// accepted unless `anyway` is set.
     pub(super) async fn accept_hand_back(
         self: &Rc<Self>,
         owner: u64,
