--- a/crates/node/src/tools.rs
+++ b/crates/node/src/tools.rs
@@ -1,6 +1,6 @@
 //! What operators run by hand: checks of files, the status of a running system, a look into a ring of files.
 use anyhow::Context as _;
-use control::Durable;
+use control::DurableState;
 use net::client::Client;
 use net::http::encode_request;
 use net::repeat::Repeat;
@@ -114,33 +114,33 @@
         let kind = match &entry {
             Entry::Disk(_) => "disk",
             Entry::Message { .. } => "message",
-            Entry::Failed { .. } => "failed attempt",
-            Entry::Ended(_) => "end",
-            Entry::CalledBack { .. } => "call-back",
+            Entry::AttemptFailed { .. } => "failed attempt",
+            Entry::Finished(_) => "end",
+            Entry::CallbackDone { .. } => "call-back",
             Entry::Dropped { .. } => "dropped copy",
             Entry::Fenced { .. } => "fence",
             Entry::TakenOver { .. } => "taken over",
-            Entry::EndedMessage { .. } => "ended message",
+            Entry::FinishedMessage { .. } => "ended message",
         };
         *kinds.entry(kind).or_default() += 1;
-        queue.recover(entry);
+        queue.replay(entry);
     }
-    queue.recovered();
-    let queue::Counts { waiting, ended, replicas, .. } = queue.counts();
+    queue.finish_recovery();
+    let queue::Counts { waiting, finished, replicas, .. } = queue.counts();
     let mut lines: Vec<String> =
         kinds.iter().map(|(kind, count)| format!("{count} records: {kind}")).collect();
     lines.push(format!(
-        "disk {:016x}: {waiting} messages waiting, {ended} ended, {replicas} copies",
+        "disk {:016x}: {waiting} messages waiting, {finished} ended, {replicas} copies",
         queue.disk()
     ));
     lines
 }
 
 fn control_line(bytes: &[u8]) -> anyhow::Result<String> {
-    let durable: Durable =
+    let durable: DurableState =
         borsh::from_slice(bytes).context("the last record is none of this version; update")?;
-    let epoch = durable.accepted.as_ref().map_or(0, |view| view.epoch);
-    let (version, change) = (durable.state.version, durable.state.at.number);
+    let epoch = durable.accepted_view.as_ref().map_or(0, |view| view.epoch);
+    let (version, change) = (durable.state.version, durable.state.position.number);
     Ok(format!(
         "control, disk {:016x}: epoch {epoch}, change {change}, configuration {version}",
         durable.disk
