--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,21 +1,24 @@
-//! The group's durable state on a ring of files: the whole state with each change, the last one counts.
+//! The group's durable state on a ring of files. Every change appends the complete state; the last record is the current
+//! one.
 use crate::group::{DurableState, Storage};
 use ringlog::{Files, Ring, RingError, Shape};
 
-/// What is done when the state can't be written, before it is tried again.
+/// Called with the error when the state can't be written, before the write is retried.
 pub type OnError = Box<dyn FnMut(&RingError)>;
 
-/// The disk of a control machine. A write is waited for: a machine whose disk stalls is silent, and others lead.
+/// The disk of a control machine. Writes block: a machine whose disk stalls doesn't answer, and the other members elect a
+/// new primary.
 pub struct DiskStorage<F> {
     ring: Ring<F>,
     on_error: OnError,
 }
 
-/// Why the state on a disk can't be used.
+/// Why the state on a disk can't be loaded.
 #[derive(Debug)]
 pub enum DiskError {
+    /// The ring of files can't be opened.
     Ring(RingError),
-    /// The last record is of another version of the program.
+    /// The last record was written by a different version of the program.
     Unreadable(std::io::Error),
 }
 
@@ -24,7 +27,7 @@
         match self {
             DiskError::Ring(error) => write!(f, "{error}"),
             DiskError::Unreadable(error) => {
-                write!(f, "the state on disk is of another version ({error}); update the program")
+                write!(f, "the state on disk was written by a different version of the program ({error}); update the program")
             }
         }
     }
@@ -33,7 +36,7 @@
 impl std::error::Error for DiskError {}
 
 impl<F: Files> DiskStorage<F> {
-    /// Opens the files and reads the last state; an empty one with disk 0 where there was none.
+    /// Opens the files and reads the last state. Without a record the state is empty and its disk identity is 0.
     pub fn open(
         files: F,
         shape: Shape,
@@ -50,7 +53,7 @@
     }
 
     fn write(&mut self, durable: &DurableState) -> Result<(), RingError> {
-        // Only the last record counts, so all but the files that may hold it are free.
+        // Only the last record is needed, so all files before the one that may hold it can be reused.
         while self.ring.free() < 2 && self.ring.oldest().is_some() {
             self.ring.release_oldest();
         }
@@ -62,7 +65,7 @@
 
 impl<F: Files> Storage for DiskStorage<F> {
     fn save(&mut self, durable: &DurableState) {
-        // A machine that can't keep its promises must not make any: it waits until it can.
+        // The machine must not answer before its promises are durable, so it retries until the write succeeds.
         while let Err(error) = self.write(durable) {
             (self.on_error)(&error);
         }
--- a/crates/control/src/group/election.rs
+++ b/crates/control/src/group/election.rs
@@ -1,171 +1,199 @@
-//! Looking for a primary, and the way to a new epoch: promises of a majority, a copy of the state at the backups, a
-//! majority that accepts the view.
+//! Detection of a missing primary, and the steps to a new epoch: promises of a majority, a copy of the state on every
+//! backup, and acceptance of the new view by a majority.
 use super::lease::Primary;
 use super::*;
 
 impl<S: Storage> Group<S> {
-    pub(super) fn rest(&mut self, now: Ms) -> Vec<Outgoing> {
+    /// Gives up an election and becomes a follower.
+    pub(super) fn abort_attempt(&mut self, now: Ms) -> Vec<Outgoing> {
         self.role = Role::Follower;
-        // The next attempt comes soon, and not at the same moment as another member's.
-        self.heard = (now + AGAIN).saturating_sub(self.first_patience());
+        // The next attempt comes soon; the rank keeps it apart from those of other members.
+        self.election_timer_start = (now + RETRY_DELAY).saturating_sub(self.base_timeout());
         Vec::new()
     }
 
-    pub(super) fn first_patience(&self) -> Ms {
-        match self.heard_primary {
-            None => START_PATIENCE,
-            Some(_) => PATIENCE,
+    /// The time without a primary after which the machine of rank 0 starts an election.
+    pub(super) fn base_timeout(&self) -> Ms {
+        match self.last_heartbeat {
+            None => STARTUP_PRIMARY_TIMEOUT,
+            Some(_) => PRIMARY_TIMEOUT,
         }
     }
 
+    /// This machine's place in the order of all known addresses.
     pub(super) fn rank(&self) -> u64 {
         let ip = self.settings.me.ip;
         self.addresses().iter().position(|other| *other == ip).unwrap_or(9) as u64
     }
 
-    pub(super) fn follow(&mut self, now: Ms) -> Vec<Outgoing> {
+    /// Probes the other machines once no primary was heard from for the timeout. Machines without the state wait longer.
+    pub(super) fn tick_follower(&mut self, now: Ms) -> Vec<Outgoing> {
         let view = self.view();
-        let expected = view.is_none_or(|view| view.holds_state(self.settings.me.disk));
-        let step = if self.heard_primary.is_none() { START_STEP } else { PATIENCE_STEP };
-        let patience = self.first_patience() + step * self.rank() + if expected { 0 } else { 400 };
-        if now < self.heard + patience || now < self.leave_until {
+        let holds_state = view.is_none_or(|view| view.holds_state(self.settings.me.disk));
+        let timeout_per_rank =
+            if self.last_heartbeat.is_none() { STARTUP_TIMEOUT_PER_RANK } else { TIMEOUT_PER_RANK };
+        let timeout =
+            self.base_timeout() + timeout_per_rank * self.rank() + if holds_state { 0 } else { 400 };
+        if now < self.election_timer_start + timeout || now < self.election_holdoff_until {
             return Vec::new();
         }
-        let me = self.status(now);
-        self.role = Role::Probing { since: now, statuses: BTreeMap::from([(self.settings.me.disk, me)]) };
+        let own_status = self.status(now);
+        self.role =
+            Role::Probing { since: now, statuses: BTreeMap::from([(self.settings.me.disk, own_status)]) };
         let probe = Message::Probe(self.settings.me.clone());
         self.peers().into_iter().map(|to| Outgoing { to, message: probe.clone() }).collect()
     }
 
-    pub(super) fn judge_probe(&mut self, now: Ms, late: bool) -> Vec<Outgoing> {
+    /// Begins an epoch if enough machines answered, none of them hears from a primary, and this machine holds the state.
+    pub(super) fn evaluate_probe(&mut self, now: Ms, timed_out: bool) -> Vec<Outgoing> {
         let Role::Probing { statuses, .. } = &self.role else { return Vec::new() };
-        let heard = statuses.values().any(|s| s.heartbeat_age < PATIENCE && s.accepted_view.is_some());
-        let latest = latest(statuses.values());
-        let ready = match &latest {
+        let primary_alive =
+            statuses.values().any(|s| s.heartbeat_age < PRIMARY_TIMEOUT && s.accepted_view.is_some());
+        let latest_view = latest_view(statuses.values());
+        let has_quorum = match &latest_view {
             Some(view) => view.is_majority(statuses.keys()),
             None => self.founders_ready(statuses, now),
         };
-        let may = match &latest {
+        let may_lead = match &latest_view {
             Some(view) => view.holds_state(self.settings.me.disk),
             None => self.settings.founder,
         };
-        if ready && may && !heard {
+        if has_quorum && may_lead && !primary_alive {
             return self.prepare(None, now);
         }
-        if late || heard {
-            return self.rest(now);
+        if timed_out || primary_alive {
+            return self.abort_attempt(now);
         }
         Vec::new()
     }
 
+    /// Whether all founders answered, or a majority of them after [`FOUNDING_TIMEOUT`].
     pub(super) fn founders_ready(&self, statuses: &BTreeMap<u64, MemberStatus>, now: Ms) -> bool {
         let founders = self.settings.founders.len();
-        let there = statuses.values().filter(|s| s.founder && self.founds(s)).count();
-        there == founders || (there > founders / 2 && now >= self.started + FOUNDING)
+        let present = statuses.values().filter(|s| s.founder && self.is_founder(s)).count();
+        present == founders || (present > founders / 2 && now >= self.started_at + FOUNDING_TIMEOUT)
     }
 
-    pub(super) fn founds(&self, status: &MemberStatus) -> bool {
+    /// Whether a machine's address is one of the founders' addresses.
+    pub(super) fn is_founder(&self, status: &MemberStatus) -> bool {
         self.settings.founders.contains(&status.member.ip)
     }
 
-    /// Asks for a new epoch; with `plan`, for other members in it.
-    pub(super) fn prepare(&mut self, plan: Option<Vec<Member>>, now: Ms) -> Vec<Outgoing> {
-        let known = match &self.role {
+    /// Asks for promises for a new epoch, with `planned_members` as its members if given.
+    pub(super) fn prepare(&mut self, planned_members: Option<Vec<Member>>, now: Ms) -> Vec<Outgoing> {
+        let highest_promised = match &self.role {
             Role::Probing { statuses, .. } => statuses.values().map(|s| s.promised_epoch).max().unwrap_or(0),
             _ => 0,
         };
-        // No two machines ask for the same epoch: of two that ask at once, the higher one wins.
-        let round = known.max(self.durable.promised_epoch) / EPOCHS_A_ROUND + 1;
-        let epoch = round * EPOCHS_A_ROUND + self.rank().min(EPOCHS_A_ROUND - 1);
-        self.promise(epoch);
+        // No two machines ask for the same epoch: of two that ask at once, the one with the higher epoch wins.
+        let round = highest_promised.max(self.durable.promised_epoch) / EPOCHS_PER_ROUND + 1;
+        let epoch = round * EPOCHS_PER_ROUND + self.rank().min(EPOCHS_PER_ROUND - 1);
+        self.promise_epoch(epoch);
         let promises = BTreeMap::from([(self.settings.me.disk, self.status(now))]);
-        self.role = Role::Preparing { since: now, epoch, promises, plan };
+        self.role = Role::Preparing { since: now, epoch, promises, planned_members };
         let message = Message::Prepare(epoch);
         self.peers().into_iter().map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
-    pub(super) fn judge_promises(&mut self, now: Ms) -> Vec<Outgoing> {
-        let Role::Preparing { since, epoch, promises, plan } = &self.role else { return Vec::new() };
-        let from = latest(promises.values());
+    /// Chooses members and backups of the new epoch once a majority has promised, and copies the state to the backups.
+    pub(super) fn evaluate_promises(&mut self, now: Ms) -> Vec<Outgoing> {
+        let Role::Preparing { since, epoch, promises, planned_members } = &self.role else {
+            return Vec::new();
+        };
+        let previous_view = latest_view(promises.values());
         let me = self.settings.me.disk;
-        let waiting_for_more = now < since + 100;
-        let (enough, all) = match &from {
+        let may_wait = now < since + 100;
+        let (has_majority, voter_count) = match &previous_view {
             Some(view) => (view.is_majority(promises.keys()), view.members.len()),
             None => (self.founders_ready(promises, now), self.settings.founders.len()),
         };
-        if !enough || (promises.len() < all.min(2)) {
+        if !has_majority || (promises.len() < voter_count.min(2)) {
             return Vec::new();
         }
-        if from.as_ref().is_some_and(|view| !view.holds_state(me)) {
-            return self.rest(now);
+        if previous_view.as_ref().is_some_and(|view| !view.holds_state(me)) {
+            return self.abort_attempt(now);
         }
-        let members = match (&from, plan) {
+        let members = match (&previous_view, planned_members) {
             (_, Some(members)) => members.clone(),
             (Some(view), None) => view.members.clone(),
             (None, None) => self.founding_members(promises),
         };
-        let wanted = self.settings.tolerance.copies().min(members.len().saturating_sub(1));
-        let there = |disk: &u64| *disk != me && promises.contains_key(disk);
-        let left = |disk: &u64| self.leaves(*disk, now);
-        let held = |disk: &u64| from.as_ref().is_some_and(|view| view.holds_state(*disk));
+        let backup_count = self.settings.tolerance.copies().min(members.len().saturating_sub(1));
+        let has_promised = |disk: &u64| *disk != me && promises.contains_key(disk);
+        let is_leaving = |disk: &u64| self.is_leaving(*disk, now);
+        let held_state = |disk: &u64| previous_view.as_ref().is_some_and(|view| view.holds_state(*disk));
         let mut candidates: Vec<u64> =
             members.iter().map(|member| member.disk).filter(|d| *d != me).collect();
-        // Others that hold the state may still answer; only then are others taken.
-        if waiting_for_more && candidates.iter().any(|disk| held(disk) && !left(disk) && !there(disk)) {
+        // Members that hold the state are preferred as backups, so their answers are waited for a little longer.
+        if may_wait
+            && candidates.iter().any(|disk| held_state(disk) && !is_leaving(disk) && !has_promised(disk))
+        {
             return Vec::new();
         }
-        candidates.retain(|disk| there(disk));
-        candidates.sort_by_key(|disk| (left(disk), !held(disk)));
-        candidates.truncate(wanted);
-        if candidates.len() < wanted {
+        candidates.retain(|disk| has_promised(disk));
+        candidates.sort_by_key(|disk| (is_leaving(disk), !held_state(disk)));
+        candidates.truncate(backup_count);
+        if candidates.len() < backup_count {
             return Vec::new();
         }
-        let previous_members = from.as_ref().map_or_else(Vec::new, |view| view.members.clone());
+        let previous_members = previous_view.as_ref().map_or_else(Vec::new, |view| view.members.clone());
         let view = View { epoch: *epoch, primary: me, backups: candidates, members, previous_members };
-        self.copy(view, from, now)
+        self.copy_state(view, previous_view, now)
     }
 
+    /// The founders among the machines that promised.
     pub(super) fn founding_members(&self, promises: &BTreeMap<u64, MemberStatus>) -> Vec<Member> {
-        let founders = promises.values().filter(|s| s.founder && self.founds(s));
+        let founders = promises.values().filter(|s| s.founder && self.is_founder(s));
         founders.map(|status| status.member.clone()).collect()
     }
 
-    pub(super) fn copy(&mut self, view: View, from: Option<View>, now: Ms) -> Vec<Outgoing> {
+    /// Sends the state to the backups of the new view.
+    pub(super) fn copy_state(&mut self, view: View, previous_view: Option<View>, now: Ms) -> Vec<Outgoing> {
         self.durable.state.position.epoch = view.epoch;
         self.save();
         let backups = view.members.iter().filter(|member| view.backups.contains(&member.disk));
         let ips: Vec<IpAddr> = backups.map(|member| member.ip).collect();
         let message = Message::Replicate(view.epoch, self.durable.state.clone());
-        self.role = Role::Copying { since: now, view, from, copied: BTreeSet::new() };
+        self.role = Role::Copying { since: now, view, previous_view, copied: BTreeSet::new() };
         ips.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
-    pub(super) fn install(&mut self, now: Ms) -> Vec<Outgoing> {
-        let Role::Copying { view, from, .. } = &self.role else { return Vec::new() };
-        let (view, from) = (view.clone(), from.clone());
-        self.accept(view.clone());
+    /// Accepts the new view, and asks all machines to accept it.
+    pub(super) fn install_view(&mut self, now: Ms) -> Vec<Outgoing> {
+        let Role::Copying { view, previous_view, .. } = &self.role else { return Vec::new() };
+        let (view, previous_view) = (view.clone(), previous_view.clone());
+        self.accept_view(view.clone());
         let accepted = BTreeSet::from([self.settings.me.disk]);
         let message = Message::InstallView(view.clone());
-        self.role = Role::Installing { since: now, view, from, accepted };
+        self.role = Role::Installing { since: now, view, previous_view, accepted };
         self.peers().into_iter().map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
-    pub(super) fn judge_installed(&mut self, now: Ms) -> Vec<Outgoing> {
-        let Role::Installing { since, view, from, accepted } = &self.role else { return Vec::new() };
-        let before = from.as_ref().is_none_or(|view| view.is_majority(accepted));
-        if !before || !view.is_majority(accepted) {
+    /// Becomes primary once a majority of the previous and of the new view has accepted the new one.
+    pub(super) fn evaluate_installation(&mut self, now: Ms) -> Vec<Outgoing> {
+        let Role::Installing { since, view, previous_view, accepted } = &self.role else { return Vec::new() };
+        let previous_majority = previous_view.as_ref().is_none_or(|view| view.is_majority(accepted));
+        if !previous_majority || !view.is_majority(accepted) {
             return Vec::new();
         }
-        let answered = accepted.iter().map(|disk| (*disk, *since)).collect();
-        let (since, last) = (now, self.last_change_number());
+        let last_answered = accepted.iter().map(|disk| (*disk, *since)).collect();
+        let (since, last_change) = (now, self.last_change_number());
         let view = view.clone();
-        let copied = view.backups.iter().map(|disk| (*disk, last)).collect();
-        self.role = Role::Primary(Primary { view, since, pinged: now, answered, copied, sent: None });
+        let replicated = view.backups.iter().map(|disk| (*disk, last_change)).collect();
+        self.role = Role::Primary(Primary {
+            view,
+            since,
+            last_heartbeat_sent: now,
+            last_answered,
+            replicated,
+            last_replication: None,
+        });
         self.primary = Some(self.settings.me.ip);
-        self.ping(now)
+        self.send_heartbeat(now)
     }
 }
 
-pub(super) fn latest<'a>(statuses: impl Iterator<Item = &'a MemberStatus>) -> Option<View> {
+/// The view of the highest epoch that these machines accepted.
+pub(super) fn latest_view<'a>(statuses: impl Iterator<Item = &'a MemberStatus>) -> Option<View> {
     statuses.filter_map(|s| s.accepted_view.as_ref()).max_by_key(|view| view.epoch).cloned()
 }
--- a/crates/control/src/group/lease.rs
+++ b/crates/control/src/group/lease.rs
@@ -1,91 +1,95 @@
-//! What a primary does: it tells that it is there, and is one only as long as a majority answers.
+//! The tasks of a primary, and its lease: it sends heartbeats, and stays primary only as long as a majority answers.
 use super::*;
 
+/// What a primary knows of the other machines.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Primary {
     pub(super) view: View,
-    /// When it became primary.
+    /// When this machine became primary.
     pub(super) since: Ms,
-    /// When it told last that it is there.
-    pub(super) pinged: Ms,
-    /// When the last question was sent that a machine answered, by disk. An answer proves nothing about the time since.
-    pub(super) answered: BTreeMap<u64, Ms>,
-    /// The number of the last change that each backup has.
-    pub(super) copied: BTreeMap<u64, u64>,
-    /// When the state was sent to the backups.
-    pub(super) sent: Option<Ms>,
+    /// When the last heartbeat was sent.
+    pub(super) last_heartbeat_sent: Ms,
+    /// When the latest message was sent that a machine has answered, by disk. An answer proves nothing about the time after
+    /// its message was sent.
+    pub(super) last_answered: BTreeMap<u64, Ms>,
+    /// The number of the last change that each backup has stored, by disk.
+    pub(super) replicated: BTreeMap<u64, u64>,
+    /// When the state was last sent to the backups.
+    pub(super) last_replication: Option<Ms>,
 }
 
 impl<S: Storage> Group<S> {
-    /// The view in which this machine is primary, if a majority has answered lately.
+    /// The view in which this machine is primary, if its lease is valid: a majority has answered recently.
     pub fn leads(&self, now: Ms) -> Option<&View> {
         match &self.role {
-            Role::Primary(primary) if primary.lease(self.settings.me.disk, now) => Some(&primary.view),
+            Role::Primary(primary) if primary.holds_lease(self.settings.me.disk, now) => Some(&primary.view),
             _ => None,
         }
     }
 
-    pub(super) fn ping(&mut self, now: Ms) -> Vec<Outgoing> {
+    /// Sends a heartbeat with the view to all other machines.
+    pub(super) fn send_heartbeat(&mut self, now: Ms) -> Vec<Outgoing> {
         let peers = self.peers();
         let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        primary.pinged = now;
+        primary.last_heartbeat_sent = now;
         let message = Message::Heartbeat(primary.view.clone());
         peers.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 
-    /// Lets time pass for a primary.
-    pub(super) fn lead(&mut self, now: Ms) -> Vec<Outgoing> {
+    /// Does what is due for a primary: steps down without a lease, changes backups or members, resends the state, sends
+    /// heartbeats.
+    pub(super) fn tick_primary(&mut self, now: Ms) -> Vec<Outgoing> {
         let me = self.settings.me.disk;
         let Role::Primary(primary) = &self.role else { return Vec::new() };
-        if !primary.lease(me, now) {
+        if !primary.holds_lease(me, now) {
             self.role = Role::Follower;
-            self.heard = now;
+            self.election_timer_start = now;
             return Vec::new();
         }
-        if self.wants_other_backups(primary, now) {
+        if self.needs_other_backups(primary, now) {
             return self.prepare(None, now);
         }
-        if let Some(members) = self.better_members(now) {
+        if let Some(members) = self.improved_members(now) {
             return self.prepare(Some(members), now);
         }
-        let waits = primary.committed_change_number() < self.last_change_number();
-        let (send, ping) = (
-            waits && primary.sent.is_none_or(|at| now >= at + STEP),
-            now >= primary.pinged + HEARTBEAT_INTERVAL,
+        let has_uncommitted = primary.committed_change_number() < self.last_change_number();
+        let (resend, heartbeat_due) = (
+            has_uncommitted && primary.last_replication.is_none_or(|at| now >= at + STEP_TIMEOUT),
+            now >= primary.last_heartbeat_sent + HEARTBEAT_INTERVAL,
         );
-        let mut out = if send { self.replicate(now) } else { Vec::new() };
-        if ping {
-            out.extend(self.ping(now));
+        let mut outgoing = if resend { self.replicate(now) } else { Vec::new() };
+        if heartbeat_due {
+            outgoing.extend(self.send_heartbeat(now));
         }
-        out
+        outgoing
     }
 
-    /// A backup is silent or about to stop, and there are enough others for its part.
-    fn wants_other_backups(&self, primary: &Primary, now: Ms) -> bool {
-        let silent = |disk: u64| now >= primary.silent_since(disk) + BACKUP_PATIENCE;
-        let unfit = |disk: &u64| silent(*disk) || self.leaves(*disk, now);
-        primary.view.backups.iter().any(unfit) && self.backups_to_be_had(primary, now)
+    /// Whether a backup is unreachable or about to stop, and enough other members are available.
+    fn needs_other_backups(&self, primary: &Primary, now: Ms) -> bool {
+        let unreachable = |disk: u64| now >= primary.unreachable_since(disk) + BACKUP_TIMEOUT;
+        let must_replace = |disk: &u64| unreachable(*disk) || self.is_leaving(*disk, now);
+        primary.view.backups.iter().any(must_replace) && self.has_enough_backups(primary, now)
     }
 
-    /// Enough members answer, and stay, for a view with all its backups.
-    pub(super) fn backups_to_be_had(&self, primary: &Primary, now: Ms) -> bool {
+    /// Whether enough members are available for a view with all its backups.
+    pub(super) fn has_enough_backups(&self, primary: &Primary, now: Ms) -> bool {
         let wanted = self.settings.tolerance.copies().min(primary.view.members.len().saturating_sub(1));
-        self.fit_members(primary, now).count() >= wanted
+        self.available_members(primary, now).count() >= wanted
     }
 
-    /// Other members that answer and stay.
-    pub(super) fn fit_members<'a>(
+    /// Other members that answered recently and aren't about to stop.
+    pub(super) fn available_members<'a>(
         &'a self,
         primary: &'a Primary,
         now: Ms,
     ) -> impl Iterator<Item = &'a Member> {
         let me = self.settings.me.disk;
         let others = primary.view.members.iter().filter(move |member| member.disk != me);
-        others.filter(move |m| primary.is_fresh(m.disk, now) && !self.leaves(m.disk, now))
+        others.filter(move |m| primary.answered_recently(m.disk, now) && !self.is_leaving(m.disk, now))
     }
 
-    /// Begins to ask the members whether this machine leads still, for a call that came and may only be answered if it
-    /// does; nothing where it doesn't lead by what it knows.
+    /// Asks the members to confirm that this machine is still primary, before it answers a request that only a primary may
+    /// answer. Nothing is returned if it doesn't hold the lease.
     pub fn confirm_leadership(&self, now: Ms) -> Option<(LeadershipConfirmation, Vec<Outgoing>)> {
         let view = self.leads(now)?.clone();
         let me = self.settings.me.disk;
@@ -93,13 +97,13 @@
         let others = view.members.iter().chain(&view.previous_members).filter(|member| member.disk != me);
         let mut ips: BTreeSet<IpAddr> = others.map(|member| member.ip).collect();
         ips.remove(&self.settings.me.ip);
-        let questions = ips.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect();
-        Some((LeadershipConfirmation { view, agreed: BTreeSet::from([me]) }, questions))
+        let requests = ips.into_iter().map(|to| Outgoing { to, message: message.clone() }).collect();
+        Some((LeadershipConfirmation { view, agreed: BTreeSet::from([me]) }, requests))
     }
 }
 
-/// A question to the members whether a machine leads, and who has said so. An answer is given after the question, so a
-/// majority of them shows that no other machine led when the call came that needs to know.
+/// A round of requests to confirm that a machine is primary, and the members that confirmed it. Each reply is given after
+/// its request, so a majority of them proves that no other machine was primary when the round began.
 #[derive(Clone, Debug)]
 pub struct LeadershipConfirmation {
     view: View,
@@ -107,53 +111,55 @@
 }
 
 impl LeadershipConfirmation {
-    /// Notes the answer to one of the questions.
+    /// Records the reply to one of the requests.
     pub fn record_reply(&mut self, reply: &Reply) {
         if reply.accepted {
             self.agreed.insert(reply.status.member.disk);
         }
     }
 
-    /// A majority has said so.
+    /// Whether a majority has confirmed it.
     pub fn has_majority(&self) -> bool {
         self.view.is_majority(&self.agreed)
     }
 
-    /// The machine still leads in the epoch for which it asked.
+    /// Whether the machine is still primary of the epoch in which the requests were sent.
     pub fn is_current<S: Storage>(&self, group: &Group<S>, now: Ms) -> bool {
         group.leads(now).is_some_and(|view| view.epoch == self.view.epoch)
     }
 }
 
 impl Primary {
-    /// The number of the last change that all backups have.
+    /// The number of the last change that all backups have stored.
     pub(super) fn committed_change_number(&self) -> u64 {
-        let of = |disk: &u64| self.copied.get(disk).copied().unwrap_or(0);
-        self.view.backups.iter().map(of).min().unwrap_or(0)
+        let replicated_by = |disk: &u64| self.replicated.get(disk).copied().unwrap_or(0);
+        self.view.backups.iter().map(replicated_by).min().unwrap_or(0)
     }
 
-    /// A machine answered a question that was sent at a time.
-    pub(super) fn note_answer(&mut self, disk: u64, sent: Ms) {
-        let at = self.answered.entry(disk).or_default();
+    /// Records that a machine answered a message that was sent at `sent`.
+    pub(super) fn record_answer(&mut self, disk: u64, sent: Ms) {
+        let at = self.last_answered.entry(disk).or_default();
         *at = (*at).max(sent);
     }
 
-    /// Since when nothing shows that a machine is there.
-    pub(super) fn silent_since(&self, disk: u64) -> Ms {
-        self.answered.get(&disk).copied().unwrap_or(0).max(self.since)
+    /// The time since which nothing proves that a machine is reachable.
+    pub(super) fn unreachable_since(&self, disk: u64) -> Ms {
+        self.last_answered.get(&disk).copied().unwrap_or(0).max(self.since)
     }
 
-    /// A machine has answered lately.
-    pub(super) fn is_fresh(&self, disk: u64, now: Ms) -> bool {
-        now < self.answered.get(&disk).copied().unwrap_or(0) + BACKUP_PATIENCE
+    /// Whether a machine has answered within [`BACKUP_TIMEOUT`].
+    pub(super) fn answered_recently(&self, disk: u64, now: Ms) -> bool {
+        now < self.last_answered.get(&disk).copied().unwrap_or(0) + BACKUP_TIMEOUT
     }
 
-    /// A majority has answered questions that were sent lately.
-    pub(super) fn lease(&self, me: u64, now: Ms) -> bool {
-        let fresh = self.answered.iter().filter(|(disk, at)| **disk != me && now < **at + LEASE);
-        self.view.is_majority(fresh.map(|(disk, _)| disk).chain([&me]))
+    /// Whether a majority has answered messages that were sent within [`LEASE_DURATION`].
+    pub(super) fn holds_lease(&self, me: u64, now: Ms) -> bool {
+        let recent =
+            self.last_answered.iter().filter(|(disk, at)| **disk != me && now < **at + LEASE_DURATION);
+        self.view.is_majority(recent.map(|(disk, _)| disk).chain([&me]))
     }
 
+    /// The address of a member.
     pub(super) fn ip_of(&self, disk: u64) -> Option<IpAddr> {
         self.view.members.iter().find(|member| member.disk == disk).map(|member| member.ip)
     }
--- a/crates/control/src/group/membership.rs
+++ b/crates/control/src/group/membership.rs
@@ -1,113 +1,121 @@
-//! Who the members are: joins, replacements and planned leaves, one at a time and by agreement of both majorities.
+//! Membership changes: joins, replacements and planned leaves, one at a time and agreed by a majority of the old and of the
+//! new members.
 //!
-//! A planned stop is a leave if a machine is there that can take the member's place, and a short absence if none is. In
-//! both cases the member waits until another holds what it holds, and only then goes.
+//! A member that is about to stop is replaced if a non-member is available, and otherwise stays a member during a short
+//! absence. In both cases it waits until another machine holds the state in its place before it stops.
 use super::lease::Primary;
 use super::*;
 
-/// What a machine that is about to stop has to do before it goes.
+/// What a machine that is about to stop has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaveStep {
-    /// To ask this, and again until the answer is that it needn't wait.
+    /// Send this request, and repeat it until the reply says that it needn't wait.
     Request(Outgoing),
-    /// To wait: who could take its place isn't known yet.
+    /// Wait: the primary isn't known yet.
     Wait,
-    /// Nothing: the group doesn't rest on it.
+    /// Stop: the group doesn't depend on this machine.
     Ready,
 }
 
 impl<S: Storage> Group<S> {
-    /// Notes a machine that isn't a member.
-    pub(super) fn note_other(&mut self, member: &Member, now: Ms) {
+    /// Records a machine that isn't a member, and forgets those that weren't heard from for long.
+    pub(super) fn record_non_member(&mut self, member: &Member, now: Ms) {
         if self.is_member(member.disk) || member.disk == self.settings.me.disk {
             return;
         }
-        self.others.insert(member.disk, (member.clone(), now));
-        self.others.retain(|_, (_, at)| now < *at + OTHERS_FORGOTTEN);
+        self.non_members.insert(member.disk, (member.clone(), now));
+        self.non_members.retain(|_, (_, at)| now < *at + NON_MEMBER_EXPIRY);
     }
 
-    /// Notes where the members of a view are, if it is later than the one that counts here: a machine that starts, and is told
-    /// of a few others only, finds the primary by theirs.
-    pub(super) fn note_view(&mut self, view: &View) {
+    /// Records a view that another machine reported, if it is later than the accepted one. A machine that starts and knows
+    /// only a few addresses finds the primary through it.
+    pub(super) fn record_reported_view(&mut self, view: &View) {
         let later = |known: Option<&View>| known.is_none_or(|known| known.epoch < view.epoch);
-        if later(self.view()) && later(self.told.as_ref()) {
-            self.told = Some(view.clone());
+        if later(self.view()) && later(self.reported_view.as_ref()) {
+            self.reported_view = Some(view.clone());
         }
     }
 
-    /// Whether a member is about to stop.
-    pub(super) fn leaves(&self, disk: u64, now: Ms) -> bool {
-        self.leaving.get(&disk).is_some_and(|at| now < at + LEAVING)
+    /// Whether a member has asked to leave recently.
+    pub(super) fn is_leaving(&self, disk: u64, now: Ms) -> bool {
+        self.leaving.get(&disk).is_some_and(|at| now < at + LEAVE_VALIDITY)
     }
 
-    /// A member is about to stop. True as long as it should wait: until another machine has its place, or at least its
-    /// copy of the state. One that doesn't lead can't tell.
-    pub(super) fn member_leaves(&mut self, disk: u64, now: Ms) -> bool {
+    /// Handles a leave request. True as long as the member should wait: until another machine has replaced it or, where none
+    /// can, at least holds the state in its stead. A machine that isn't primary doesn't know, and always answers true.
+    pub(super) fn handle_leave(&mut self, disk: u64, now: Ms) -> bool {
         self.leaving.insert(disk, now);
-        self.leaving.retain(|_, at| now < *at + LEAVING);
+        self.leaving.retain(|_, at| now < *at + LEAVE_VALIDITY);
         let Role::Primary(primary) = &self.role else { return true };
         let view = &primary.view;
-        let there = |(member, at): &(Member, Ms)| {
-            !view.has_vote(member.disk) && now < at + MEMBER_PATIENCE && !self.leaves(member.disk, now)
+        let can_join = |(member, at): &(Member, Ms)| {
+            !view.has_vote(member.disk) && now < at + MEMBER_TIMEOUT && !self.is_leaving(member.disk, now)
         };
-        // Who is there to take its place isn't known to one that has only begun to lead.
-        if now < primary.since + NEWCOMERS_HEARD {
+        // A new primary may not have heard yet from the machine that is to replace the member.
+        if now < primary.since + DISCOVERY_DELAY {
             return true;
         }
-        // One that is on its way out still decides, until the view that is without it stands alone.
-        let on_its_way = view.has_vote(disk) && !view.is_member(disk);
-        let replaced = on_its_way || (view.is_member(disk) && self.others.values().any(there));
-        replaced || (view.holds_state(disk) && self.backups_to_be_had(primary, now))
+        // A member that is being removed keeps its vote until the view without it is the only one in force.
+        let is_being_removed = view.has_vote(disk) && !view.is_member(disk);
+        let is_replaceable =
+            is_being_removed || (view.is_member(disk) && self.non_members.values().any(can_join));
+        is_replaceable || (view.holds_state(disk) && self.has_enough_backups(primary, now))
     }
 
-    /// Machines that are there and aren't members.
-    pub(super) fn newcomers<'a>(&'a self, primary: &'a Primary, now: Ms) -> impl Iterator<Item = &'a Member> {
-        let others = self.others.values().map(|(member, _)| member);
-        let there = others.filter(move |m| !primary.view.is_member(m.disk) && primary.is_fresh(m.disk, now));
-        there.filter(move |member| !self.leaves(member.disk, now))
+    /// Non-members that answered recently and aren't about to stop.
+    pub(super) fn available_non_members<'a>(
+        &'a self,
+        primary: &'a Primary,
+        now: Ms,
+    ) -> impl Iterator<Item = &'a Member> {
+        let others = self.non_members.values().map(|(member, _)| member);
+        let available =
+            others.filter(move |m| !primary.view.is_member(m.disk) && primary.answered_recently(m.disk, now));
+        available.filter(move |member| !self.is_leaving(member.disk, now))
     }
 
-    /// Members that suit better: a machine that is there in the place of one that isn't or that leaves, one more where there
-    /// are fewer than are wanted, or one in a place without which a majority doesn't outlast what may be lost.
-    pub(super) fn better_members(&self, now: Ms) -> Option<Vec<Member>> {
+    /// A better list of members, if there is one: with a non-member instead of a member that is unreachable or about to stop,
+    /// with one more member where there are too few, or with a member from another zone or region so that a majority
+    /// survives more of what may be lost at once. A change that isn't complete yet is completed first.
+    pub(super) fn improved_members(&self, now: Ms) -> Option<Vec<Member>> {
         let Role::Primary(primary) = &self.role else { return None };
         let members = &primary.view.members;
         if !primary.view.previous_members.is_empty() && primary.view.previous_members != *members {
             return Some(members.clone());
         }
-        let newcomer = self.newcomers(primary, now).next()?;
+        let newcomer = self.available_non_members(primary, now).next()?;
         if members.len() < self.settings.tolerance.group_size() {
             let newcomer = self.newcomer_by_spread(primary, now).unwrap_or(newcomer);
             return Some(members.iter().chain([newcomer]).cloned().collect());
         }
-        let replaced = self.place_for(newcomer, primary, now).map(|place| (place, newcomer));
-        let (place, newcomer) = replaced.or_else(|| self.better_spread_of_members(primary, now))?;
+        let replaced = self.index_to_replace(newcomer, primary, now).map(|index| (index, newcomer));
+        let (index, newcomer) = replaced.or_else(|| self.replacement_by_spread(primary, now))?;
         let mut better = members.clone();
-        better[place] = newcomer.clone();
+        better[index] = newcomer.clone();
         Some(better)
     }
 
-    /// The member whose place a newcomer should take: the one whose machine it is, one that leaves, or one that was
-    /// silent for long.
-    fn place_for(&self, newcomer: &Member, primary: &Primary, now: Ms) -> Option<usize> {
+    /// The index of the member that a newcomer should replace: the member of the same machine, one that is about to stop, or
+    /// one that was unreachable for [`MEMBER_TIMEOUT`].
+    fn index_to_replace(&self, newcomer: &Member, primary: &Primary, now: Ms) -> Option<usize> {
         let me = self.settings.me.disk;
-        let place = |suits: &dyn Fn(&Member) -> bool| {
-            primary.view.members.iter().position(|member| member.disk != me && suits(member))
+        let find_index = |matches: &dyn Fn(&Member) -> bool| {
+            primary.view.members.iter().position(|member| member.disk != me && matches(member))
         };
-        let leaves = |member: &Member| self.leaves(member.disk, now);
-        // What answers from a member's address, with another disk, shows that the member is no more. It takes that place,
-        // and no other: a machine is a member once.
+        let is_leaving = |member: &Member| self.is_leaving(member.disk, now);
+        // A different disk at a member's address shows that the member no longer exists. The newcomer replaces that member
+        // and no other: a machine is a member only once.
         let same_machine = |member: &Member| member.name == newcomer.name || member.ip == newcomer.ip;
-        if let Some(own) = place(&same_machine) {
-            let there = primary.is_fresh(primary.view.members[own].disk, now);
-            return Some(own).filter(|_| !there);
+        if let Some(index) = find_index(&same_machine) {
+            let still_answers = primary.answered_recently(primary.view.members[index].disk, now);
+            return Some(index).filter(|_| !still_answers);
         }
-        let silent = |member: &Member| now >= primary.silent_since(member.disk) + MEMBER_PATIENCE;
-        place(&leaves).or_else(|| place(&silent))
+        let is_unreachable = |member: &Member| now >= primary.unreachable_since(member.disk) + MEMBER_TIMEOUT;
+        find_index(&is_leaving).or_else(|| find_index(&is_unreachable))
     }
 
-    /// What a machine that is about to stop has to do first: a primary asks its backup to take its place, another member
-    /// asks the primary to do without it.
+    /// What this machine has to do next before it stops: a primary asks a backup to become primary, another member asks the
+    /// primary to replace it.
     pub fn next_leave_step(&self) -> LeaveStep {
         let me = self.settings.me.disk;
         let Some(view) = self.view().filter(|view| view.has_vote(me) && view.members.len() > 1) else {
--- a/crates/control/src/group/mod.rs
+++ b/crates/control/src/group/mod.rs
@@ -1,17 +1,18 @@
-//! Primary and backup, and the members whose epochs decide who they are.
+//! Primary-backup replication, with the primary and the backups of each epoch elected by a majority of the members.
 //!
-//! A change is acknowledged once it is on the synced disks of the primary and the backups of one epoch. A new epoch is
-//! begun by one that was primary or backup in the last: a majority of the members promises it to take nothing of lower
-//! epochs, it gives the state to its backups, and a majority accepts the new view. Members need not hold the state; what
-//! they keep of it is the epoch and its view. There is no log that a majority replicates.
+//! A change is acknowledged once it is on the synced disks of the primary and all backups of one epoch. A machine that was
+//! primary or backup in the last epoch begins a new one in three steps: a majority of the members promises to reject
+//! messages of lower epochs, the new backups store the state, and a majority accepts the new view. Members other than the
+//! primary and the backups store only their promised epoch and the accepted view, not the state. No log is replicated:
+//! each change sends the complete state.
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
-//! | [`election`] | looking for a primary, and the way to a new epoch |
+//! | [`election`] | detection of a missing primary, and the steps to a new epoch |
 //! | [`replication`] | changes, and the state at the backups |
 //! | [`membership`] | joins, replacements and planned leaves |
-//! | [`spread`] | which members outlast what may be lost |
-//! | [`lease`] | what a primary does, and when it is none any more |
+//! | [`spread`] | the choice of members by zone and region |
+//! | [`lease`] | the tasks of a primary, and the lease that it holds while a majority answers |
 mod election;
 mod lease;
 mod membership;
@@ -29,54 +30,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-/// How often a primary tells that it is there.
+/// The interval between two heartbeats of a primary.
 pub const HEARTBEAT_INTERVAL: Ms = 200;
-/// Without word from a primary for so long, a member looks for another.
-const PATIENCE: Ms = 700;
-/// The same after a start, when nobody was heard yet.
-const START_PATIENCE: Ms = 60;
-/// More of it with each place in the order of members, so that not all try at once.
-const PATIENCE_STEP: Ms = 150;
-/// The same after a start.
-const START_STEP: Ms = 60;
-/// After an attempt that came to nothing.
-const AGAIN: Ms = 100;
-/// Epochs are asked for by rounds, in which each machine has its own.
-const EPOCHS_A_ROUND: u64 = 64;
-/// A machine that was promised an epoch has so long to lead it.
-const LEAVE: Ms = 400;
-/// How long answers to a probe are waited for.
-const PROBE: Ms = 150;
-/// A primary that no majority has answered for so long is none any more.
-const LEASE: Ms = 1_200;
-/// How long a step on the way to a new epoch may take.
-const STEP: Ms = 500;
-/// A backup that doesn't answer for so long is replaced.
-const BACKUP_PATIENCE: Ms = 700;
-/// A member that was silent for so long may be replaced by a machine that isn't one yet.
-const MEMBER_PATIENCE: Ms = 1_800;
-/// One that has only begun to lead has heard of all machines that may join after so long.
-const NEWCOMERS_HEARD: Ms = 1_600;
-/// A member that said it leaves, and hasn't said so again for so long, stays.
-const LEAVING: Ms = 1_000;
-/// A machine that isn't a member and wasn't heard for so long is forgotten.
-const OTHERS_FORGOTTEN: Ms = 60_000;
-/// Founders are waited for so long before a majority of them begins.
-const FOUNDING: Ms = 1_500;
-
-/// What a machine of the group keeps on its disk.
+/// A member that hasn't heard from a primary for this long starts an election.
+const PRIMARY_TIMEOUT: Ms = 700;
+/// [`PRIMARY_TIMEOUT`] of a process that hasn't heard from any primary yet.
+const STARTUP_PRIMARY_TIMEOUT: Ms = 60;
+/// Added to the timeout for each rank in the order of addresses, so that the machines don't all try at once.
+const TIMEOUT_PER_RANK: Ms = 150;
+/// [`TIMEOUT_PER_RANK`] of a process that hasn't heard from any primary yet.
+const STARTUP_TIMEOUT_PER_RANK: Ms = 60;
+/// The delay before the next attempt after a failed election; the part for the machine's rank is added to it.
+const RETRY_DELAY: Ms = 100;
+/// Epochs are numbered in rounds; in each round every machine has an epoch of its own.
+const EPOCHS_PER_ROUND: u64 = 64;
+/// After promising an epoch to another machine, a member starts no election of its own for this long.
+const ELECTION_HOLDOFF: Ms = 400;
+/// How long a machine waits for the answers to its probe.
+const PROBE_TIMEOUT: Ms = 150;
+/// A primary that a majority hasn't answered for this long steps down.
+const LEASE_DURATION: Ms = 1_200;
+/// How long a step of an election may take, and the time after which an unacknowledged state is sent again.
+const STEP_TIMEOUT: Ms = 500;
+/// A machine that hasn't answered the primary for this long counts as unreachable, and a backup is then replaced.
+const BACKUP_TIMEOUT: Ms = 700;
+/// A member that hasn't answered for this long may be replaced by a non-member.
+const MEMBER_TIMEOUT: Ms = 1_800;
+/// A new primary may not know all non-members that run until it has led for this long.
+const DISCOVERY_DELAY: Ms = 1_600;
+/// A leave request that isn't repeated within this time expires, and the member stays.
+const LEAVE_VALIDITY: Ms = 1_000;
+/// A non-member that wasn't heard from for this long is forgotten.
+const NON_MEMBER_EXPIRY: Ms = 60_000;
+/// How long machines wait for all founders before a majority of them may form the group.
+const FOUNDING_TIMEOUT: Ms = 1_500;
+
+/// What a machine of the group stores on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct DurableState {
-    /// The identity of the disk.
+    /// The identity of the disk; 0 until one is given.
     pub disk: u64,
-    /// Nothing of a lower epoch is taken.
+    /// Messages of lower epochs are rejected.
     pub promised_epoch: u64,
+    /// The view that was accepted last.
     pub accepted_view: Option<View>,
+    /// The replicated state. It is current only on the primary and the backups.
     pub state: State,
 }
 
-/// Keeps what must last; it is synced when `save` returns.
+/// Durable storage of a machine's state.
 pub trait Storage {
+    /// Writes the state; it is synced to disk when this returns.
     fn save(&mut self, durable: &DurableState);
 }
 
@@ -86,148 +90,184 @@
     }
 }
 
-/// What is known from the start.
+/// The settings of one machine of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GroupSettings {
+    /// This machine.
     pub me: Member,
-    /// Machines that begin the system, by address.
+    /// The addresses of the machines that form the group when the system first starts.
     pub founders: Vec<IpAddr>,
-    /// The system starts for the first time, with an empty disk here.
+    /// The system starts for the first time, and this machine is a founder with an empty disk.
     pub founder: bool,
     /// What may be lost at once.
     pub tolerance: Tolerance,
 }
 
-/// What one machine of the group says to another.
+/// A message between machines of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Message {
-    /// How do you stand?
+    /// Requests the receiver's status. Carries the sender, which may not be a member.
     Probe(Member),
-    /// Take nothing below this epoch.
+    /// Asks for the promise to reject messages of epochs below this one.
     Prepare(u64),
-    /// Keep this state, of this epoch.
+    /// Asks a backup to store this state, in this epoch.
     Replicate(u64, State),
-    /// Accept this view.
+    /// Asks a member to accept this view.
     InstallView(View),
-    /// I am the primary of this view.
+    /// The sender is the primary of this view.
     Heartbeat(View),
-    /// I am about to stop: take my place.
+    /// The primary of this epoch is about to stop and asks a backup to become primary.
     TransferLeadership(u64),
-    /// The member with this disk is about to stop, maybe for good: do without it. Taken as long as there is something
-    /// to wait for before it goes.
+    /// The member with this disk is about to stop, maybe for good, and asks to be replaced. The reply is `accepted` as long
+    /// as the member has to wait before it stops.
     Leave(u64),
 }
 
-/// How a machine stands.
+/// The status of a machine, sent with every reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct MemberStatus {
+    /// The machine that replies.
     pub member: Member,
     pub promised_epoch: u64,
     pub accepted_view: Option<View>,
-    /// Since it heard from a primary.
+    /// The time since it last heard from a primary: 0 if it is the primary itself, `Ms::MAX` if it hasn't heard from one
+    /// since it started.
     pub heartbeat_age: Ms,
-    /// It takes part in founding the system.
+    /// It may take part in forming the group.
     pub founder: bool,
 }
 
-/// The answer to each message.
+/// The reply to any message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Reply {
+    /// Whether the receiver did what the message asked for; see [`Message::Leave`] for its meaning there.
     pub accepted: bool,
+    /// The receiver's status after the message was handled.
     pub status: MemberStatus,
 }
 
-/// A message that is to be sent; its answer goes to [`Group::handle_reply`].
+/// A message to send; the reply to it goes to [`Group::handle_reply`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Outgoing {
     pub to: IpAddr,
     pub message: Message,
 }
 
-/// What a machine is at, for logs and status.
+/// The stage of a machine, for logs; with the epoch where there is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
+    /// Follows a primary, or waits for one.
     Follower,
+    /// Looks for a primary.
     Probing,
+    /// Collects promises for an epoch.
     Preparing(u64),
+    /// Copies the state to the backups of an epoch.
     CopyingState(u64),
+    /// Asks the members to accept the view of an epoch.
     InstallingView(u64),
+    /// Is the primary of an epoch.
     Primary(u64),
 }
 
+/// What a machine does, with the replies that it has collected; [`Stage`] describes the steps. `since` is the time at which
+/// a step began. `previous_view` is the latest view among the promises; there is none when the group is first formed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
     Follower,
-    Probing { since: Ms, statuses: BTreeMap<u64, MemberStatus> },
-    Preparing { since: Ms, epoch: u64, promises: BTreeMap<u64, MemberStatus>, plan: Option<Vec<Member>> },
-    Copying { since: Ms, view: View, from: Option<View>, copied: BTreeSet<u64> },
-    Installing { since: Ms, view: View, from: Option<View>, accepted: BTreeSet<u64> },
+    Probing {
+        since: Ms,
+        statuses: BTreeMap<u64, MemberStatus>,
+    },
+    Preparing {
+        since: Ms,
+        epoch: u64,
+        promises: BTreeMap<u64, MemberStatus>,
+        planned_members: Option<Vec<Member>>,
+    },
+    Copying {
+        since: Ms,
+        view: View,
+        previous_view: Option<View>,
+        copied: BTreeSet<u64>,
+    },
+    Installing {
+        since: Ms,
+        view: View,
+        previous_view: Option<View>,
+        accepted: BTreeSet<u64>,
+    },
     Primary(Primary),
 }
 
-/// A change that was asked for here.
+/// Identifies a change that was proposed on this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeId {
+    /// The change's number, as in [`crate::Position`].
     number: u64,
-    /// Which state it was made on.
+    /// `Group::state_generation` when the change was made.
     state_generation: u64,
 }
 
-/// One machine's part in the group.
+/// The state machine of one machine of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Group<S> {
     settings: GroupSettings,
     durable: DurableState,
     storage: S,
     role: Role,
-    heard: Ms,
-    /// Another machine is on its way to an epoch: it is left alone until then.
-    leave_until: Ms,
-    /// When a primary was heard; nothing in this life yet.
-    heard_primary: Option<Ms>,
-    started: Ms,
-    /// Rises when the state here is replaced by another primary's.
+    /// An election begins once the timeout has passed since this time.
+    election_timer_start: Ms,
+    /// Another machine was promised an epoch: no election begins here until this time.
+    election_holdoff_until: Ms,
+    /// When a primary was last heard from; none since this process started if empty.
+    last_heartbeat: Option<Ms>,
+    /// When this process started.
+    started_at: Ms,
+    /// Increases when the state is replaced by that of another primary.
     state_generation: u64,
+    /// The address of the last known primary.
     primary: Option<IpAddr>,
-    /// Machines that serve control but aren't members, and when they were heard.
-    others: BTreeMap<u64, (Member, Ms)>,
-    /// Members that are about to stop, and when they said so last.
+    /// Machines that run this program but aren't members, and when they were last heard from.
+    non_members: BTreeMap<u64, (Member, Ms)>,
+    /// Members that are about to stop, and when their last leave request came.
     leaving: BTreeMap<u64, Ms>,
-    /// The latest view that others told, later than the one that counts here.
-    told: Option<View>,
+    /// The latest view that other machines reported, if it is later than the accepted one.
+    reported_view: Option<View>,
 }
 
 impl<S: Storage> Group<S> {
+    /// A machine that starts with what it has stored.
     pub fn new(settings: GroupSettings, durable: DurableState, storage: S, now: Ms) -> Group<S> {
-        let (role, others, leaving) = (Role::Follower, BTreeMap::new(), BTreeMap::new());
+        let (role, non_members, leaving) = (Role::Follower, BTreeMap::new(), BTreeMap::new());
         Group {
             settings,
             durable,
             storage,
             role,
-            heard: now,
-            leave_until: 0,
-            heard_primary: None,
-            started: now,
+            election_timer_start: now,
+            election_holdoff_until: 0,
+            last_heartbeat: None,
+            started_at: now,
             state_generation: 0,
             primary: None,
-            others,
+            non_members,
             leaving,
-            told: None,
+            reported_view: None,
         }
     }
 
-    /// What is on this machine's disk.
+    /// What this machine has stored.
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
-    /// Where the primary was last heard.
+    /// The address of the last known primary.
     pub fn primary(&self) -> Option<IpAddr> {
         self.primary
     }
 
-    /// What this machine is at.
+    /// The stage of this machine.
     pub fn stage(&self) -> Stage {
         match &self.role {
             Role::Follower => Stage::Follower,
@@ -239,7 +279,7 @@
         }
     }
 
-    /// The number of the last change that is on the primary's and all backups' disks.
+    /// The number of the last change that is on the disks of the primary and all backups; 0 if this machine isn't primary.
     pub fn committed_change_number(&self) -> u64 {
         match &self.role {
             Role::Primary(primary) => primary.committed_change_number(),
@@ -247,23 +287,23 @@
         }
     }
 
-    /// The last change that this machine has, on one disk at least.
+    /// The number of the last change that this machine has stored, committed or not.
     pub fn last_change_number(&self) -> u64 {
         self.durable.state.position.number
     }
 
-    /// The view that counts here.
+    /// The view that this machine accepted last.
     pub fn view(&self) -> Option<&View> {
         self.durable.accepted_view.as_ref()
     }
 
-    /// The addresses of all that decide, of machines that may join, and of the founders.
+    /// The addresses of all known voters, of the non-members, and of the founders.
     pub fn addresses(&self) -> Vec<IpAddr> {
-        let deciding =
+        let voters =
             |view: &View| view.members.iter().chain(&view.previous_members).map(|m| m.ip).collect::<Vec<_>>();
-        let members = self.durable.accepted_view.iter().chain(&self.told).flat_map(deciding);
-        let others = self.others.values().map(|(member, _)| member.ip);
-        let all = members.chain(others).chain(self.settings.founders.iter().copied());
+        let members = self.durable.accepted_view.iter().chain(&self.reported_view).flat_map(voters);
+        let non_members = self.non_members.values().map(|(member, _)| member.ip);
+        let all = members.chain(non_members).chain(self.settings.founders.iter().copied());
         all.collect::<BTreeSet<_>>().into_iter().collect()
     }
 
@@ -280,7 +320,7 @@
             heartbeat_age: if leads {
                 0
             } else {
-                self.heard_primary.map_or(Ms::MAX, |at| now.saturating_sub(at))
+                self.last_heartbeat.map_or(Ms::MAX, |at| now.saturating_sub(at))
             },
             founder: self.settings.founder,
         }
@@ -290,65 +330,66 @@
         self.storage.save(&self.durable);
     }
 
-    /// Answers another machine.
+    /// Handles a message from another machine; returns the reply and the messages to send.
     pub fn handle(&mut self, from: IpAddr, message: Message, now: Ms) -> (Reply, Vec<Outgoing>) {
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         let accepted = match message {
-            // It was meant for a member that had this address before.
+            // The message was meant for another member that had this address before.
             _ if from == self.settings.me.ip => false,
             Message::Probe(member) => {
-                self.note_other(&member, now);
+                self.record_non_member(&member, now);
                 true
             }
             Message::Prepare(epoch) if epoch > self.durable.promised_epoch => {
-                self.leave_until = now + LEAVE;
-                self.promise(epoch)
+                self.election_holdoff_until = now + ELECTION_HOLDOFF;
+                self.promise_epoch(epoch)
             }
             Message::Prepare(_) => false,
-            Message::Replicate(epoch, state) => self.heed(epoch) && self.keep(state, now),
-            Message::InstallView(view) => self.heed(view.epoch) && self.accept(view),
-            Message::Heartbeat(view) => self.pinged(from, view, now),
+            Message::Replicate(epoch, state) => self.enter_epoch(epoch) && self.store_state(state, now),
+            Message::InstallView(view) => self.enter_epoch(view.epoch) && self.accept_view(view),
+            Message::Heartbeat(view) => self.handle_heartbeat(from, view, now),
             Message::TransferLeadership(epoch) => {
                 let me = self.settings.me.disk;
-                let mine = self.view().is_some_and(|v| v.epoch == epoch && v.backups.contains(&me));
-                if mine && matches!(self.role, Role::Follower) {
-                    out = self.prepare(None, now);
+                let is_backup = self.view().is_some_and(|v| v.epoch == epoch && v.backups.contains(&me));
+                if is_backup && matches!(self.role, Role::Follower) {
+                    outgoing = self.prepare(None, now);
                 }
-                mine
+                is_backup
             }
-            Message::Leave(disk) => self.member_leaves(disk, now),
+            Message::Leave(disk) => self.handle_leave(disk, now),
         };
-        (Reply { accepted, status: self.status(now) }, out)
+        (Reply { accepted, status: self.status(now) }, outgoing)
     }
 
     fn is_member(&self, disk: u64) -> bool {
         self.view().is_some_and(|view| view.is_member(disk))
     }
 
-    fn promise(&mut self, epoch: u64) -> bool {
+    fn promise_epoch(&mut self, epoch: u64) -> bool {
         self.durable.promised_epoch = epoch;
         self.save();
         self.role = Role::Follower;
         true
     }
 
-    /// Whether a message of an epoch counts; what this machine does in a lower one ends.
-    fn heed(&mut self, epoch: u64) -> bool {
+    /// Whether a message of this epoch is valid. A higher epoch than the promised one is promised, which ends what this
+    /// machine does in a lower one.
+    fn enter_epoch(&mut self, epoch: u64) -> bool {
         if epoch < self.durable.promised_epoch {
             return false;
         }
         if epoch > self.durable.promised_epoch {
-            self.promise(epoch);
+            self.promise_epoch(epoch);
         }
         true
     }
 
-    fn note_primary(&mut self, now: Ms) {
-        self.heard = now;
-        self.heard_primary = Some(now);
+    fn record_heartbeat(&mut self, now: Ms) {
+        self.election_timer_start = now;
+        self.last_heartbeat = Some(now);
     }
 
-    fn accept(&mut self, view: View) -> bool {
+    fn accept_view(&mut self, view: View) -> bool {
         if self.durable.accepted_view.as_ref() != Some(&view) {
             self.durable.accepted_view = Some(view);
             self.save();
@@ -356,82 +397,85 @@
         true
     }
 
-    fn pinged(&mut self, from: IpAddr, view: View, now: Ms) -> bool {
-        if !self.heed(view.epoch) {
+    fn handle_heartbeat(&mut self, from: IpAddr, view: View, now: Ms) -> bool {
+        if !self.enter_epoch(view.epoch) {
             return false;
         }
         if !matches!(self.role, Role::Follower) {
             self.role = Role::Follower;
         }
-        self.note_primary(now);
+        self.record_heartbeat(now);
         self.primary = Some(from);
-        self.accept(view)
+        self.accept_view(view)
     }
 
-    /// Lets time pass.
+    /// Does what is due at this time; returns the messages to send.
     pub fn tick(&mut self, now: Ms) -> Vec<Outgoing> {
         match &self.role {
-            Role::Follower => self.follow(now),
-            Role::Probing { since, .. } if now >= since + PROBE => self.judge_probe(now, true),
+            Role::Follower => self.tick_follower(now),
+            Role::Probing { since, .. } if now >= since + PROBE_TIMEOUT => self.evaluate_probe(now, true),
             Role::Preparing { since, .. } | Role::Copying { since, .. } | Role::Installing { since, .. }
-                if now >= since + STEP =>
+                if now >= since + STEP_TIMEOUT =>
             {
-                self.rest(now)
+                self.abort_attempt(now)
             }
-            Role::Preparing { .. } => self.judge_promises(now),
-            Role::Primary(_) => self.lead(now),
+            Role::Preparing { .. } => self.evaluate_promises(now),
+            Role::Primary(_) => self.tick_primary(now),
             _ => Vec::new(),
         }
     }
 
-    /// Takes the answer to a message that was sent at a time. What it proves held at that time, not when it is read.
+    /// Handles the reply to a message that was sent at `sent`. The reply proves something about that time only, not about
+    /// the time at which it is read.
     pub fn handle_reply(&mut self, message: &Message, sent: Ms, reply: Reply, now: Ms) -> Vec<Outgoing> {
         let status = reply.status;
         let disk = status.member.disk;
-        self.note_other(&status.member, now);
+        self.record_non_member(&status.member, now);
         if let Some(view) = &status.accepted_view {
-            self.note_view(view);
+            self.record_reported_view(view);
         }
         match (&mut self.role, message) {
             (Role::Probing { statuses, .. }, Message::Probe(_)) => {
                 statuses.insert(disk, status);
-                self.judge_probe(now, false)
+                self.evaluate_probe(now, false)
             }
-            (Role::Preparing { epoch, promises, .. }, Message::Prepare(of)) if epoch == of => {
+            (Role::Preparing { epoch, promises, .. }, Message::Prepare(answered)) if epoch == answered => {
                 if !reply.accepted {
-                    return self.rest(now);
+                    return self.abort_attempt(now);
                 }
                 promises.insert(disk, status);
-                self.judge_promises(now)
+                self.evaluate_promises(now)
             }
-            (Role::Copying { view, copied, .. }, Message::Replicate(of, _)) if view.epoch == *of => {
+            (Role::Copying { view, copied, .. }, Message::Replicate(answered, _))
+                if view.epoch == *answered =>
+            {
                 if !reply.accepted {
-                    return self.rest(now);
+                    return self.abort_attempt(now);
                 }
                 copied.insert(disk);
                 match view.backups.iter().all(|backup| copied.contains(backup)) {
-                    true => self.install(now),
+                    true => self.install_view(now),
                     false => Vec::new(),
                 }
             }
-            (Role::Installing { view, accepted, .. }, Message::InstallView(of)) if view == of => {
+            (Role::Installing { view, accepted, .. }, Message::InstallView(answered)) if view == answered => {
                 if !reply.accepted {
-                    return self.rest(now);
+                    return self.abort_attempt(now);
                 }
                 accepted.insert(disk);
-                self.judge_installed(now)
+                self.evaluate_installation(now)
             }
             (Role::Primary(primary), message) => {
                 if status.promised_epoch > primary.view.epoch {
                     self.role = Role::Follower;
-                    self.heard = now;
+                    self.election_timer_start = now;
                     return Vec::new();
                 }
-                primary.note_answer(disk, sent);
+                primary.record_answer(disk, sent);
                 if let Message::Replicate(epoch, state) = message {
                     if reply.accepted && *epoch == primary.view.epoch {
-                        let copied = primary.copied.entry(disk).or_default();
-                        *copied = (*copied).max(state.position.number);
+                        let replicated = primary.replicated.entry(disk).or_default();
+                        *replicated = (*replicated).max(state.position.number);
                     }
                 }
                 Vec::new()
--- a/crates/control/src/group/replication.rs
+++ b/crates/control/src/group/replication.rs
@@ -1,9 +1,9 @@
-//! Changes: made by the primary, in force once its backups have them.
+//! Changes: made by the primary, committed once all backups have stored them.
 use super::*;
 
 impl<S: Storage> Group<S> {
-    /// Changes the state as primary, once all before it is on two disks; nothing until then. Tells the
-    /// change, to be followed by [`Group::has_committed`].
+    /// Executes a command as primary. Nothing is returned unless this machine leads and all earlier changes are committed;
+    /// the caller may try again. Returns the change, whose progress [`Group::is_committed`] shows, and the messages to send.
     pub fn try_propose(
         &mut self,
         command: &Command,
@@ -26,18 +26,19 @@
         Some(Ok((self.last_change_id(), self.replicate(now))))
     }
 
+    /// The last change that this machine has stored.
     pub(super) fn last_change_id(&self) -> ChangeId {
         ChangeId { number: self.last_change_number(), state_generation: self.state_generation }
     }
 
-    /// Whether a change is on two disks; nothing as long as it may still come to that. It can't be told any more once
-    /// the state here was replaced by another primary's.
+    /// Whether a change is committed; nothing while that is still open. False means unknown: the state was replaced by that
+    /// of another primary, or another machine leads, so the outcome can't be seen here any more.
     pub fn is_committed(&self, change: ChangeId, now: Ms) -> Option<bool> {
         if change.state_generation != self.state_generation || self.another_machine_leads() {
             return Some(false);
         }
         match &self.role {
-            // The state that a new epoch begins with is on two disks.
+            // The state with which a new epoch begins is on the disks of all its backups.
             Role::Primary(primary) => (primary.committed_change_number() >= change.number
                 && self.leads(now).is_some())
             .then_some(true),
@@ -45,15 +46,15 @@
         }
     }
 
-    /// Another machine leads, as far as is known.
+    /// Whether another machine is the primary, as far as this one knows.
     pub fn another_machine_leads(&self) -> bool {
         matches!(self.role, Role::Follower) && self.primary.is_some_and(|ip| ip != self.settings.me.ip)
     }
 
-    /// Keeps a state of the current epoch, or of one that just began. An older one of the same epoch, which was sent again
-    /// and came late, is held already: the state here has everything in it.
-    pub(super) fn keep(&mut self, state: State, now: Ms) -> bool {
-        self.note_primary(now);
+    /// Stores a state that the primary sent. An older state of the same epoch, which was resent and came late, is ignored:
+    /// the stored state includes every change in it.
+    pub(super) fn store_state(&mut self, state: State, now: Ms) -> bool {
+        self.record_heartbeat(now);
         if state.position > self.durable.state.position {
             self.durable.state = state;
             self.state_generation += 1;
@@ -66,9 +67,9 @@
     pub(super) fn replicate(&mut self, now: Ms) -> Vec<Outgoing> {
         let state = self.durable.state.clone();
         let Role::Primary(primary) = &mut self.role else { return Vec::new() };
-        primary.sent = Some(now);
+        primary.last_replication = Some(now);
         let message = Message::Replicate(primary.view.epoch, state);
-        let ips = primary.view.backups.iter().filter_map(|disk| primary.ip_of(*disk));
-        ips.map(|to| Outgoing { to, message: message.clone() }).collect()
+        let addresses = primary.view.backups.iter().filter_map(|disk| primary.ip_of(*disk));
+        addresses.map(|to| Outgoing { to, message: message.clone() }).collect()
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,15 @@
-//! The control state of a system, and the group of machines that keeps it.
+//! The replicated control state of a system, and the group of machines that stores it.
 //!
-//! No I/O, clock or global state: messages and times are passed in, messages come out, and what must last goes through
-//! [`Storage`].
+//! The crate is sans-I/O: it has no clock and no global state. Callers pass in messages and the current time and send the
+//! messages that are returned; durable data is written through [`Storage`].
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
-//! | [`state`] | what is kept: the configuration, those taken before it, the stores; commands, events, the fold |
-//! | [`stores`] | stores by the identity of their disks, and who owns which partition of the keys |
-//! | [`view`] | an epoch: its primary, its backup, and the members that decide |
-//! | [`disk`] | what a machine keeps, on a ring of files |
-//! | [`group`] | replication to a backup, and failover decided by a majority of the members' epochs |
+//! | [`state`] | the replicated state (configuration, recent configurations, stores) and its commands and events |
+//! | [`stores`] | stores, identified by their disks, and the owner of each partition of the key space |
+//! | [`view`] | an epoch with its primary, its backups and the members that vote |
+//! | [`disk`] | a machine's durable state on a ring of files |
+//! | [`group`] | replication to the backups, and failover by a majority vote of the members |
 pub mod disk;
 pub mod group;
 pub mod state;
@@ -24,5 +24,5 @@
 pub use stores::{Store, StoreView, PARTITIONS};
 pub use view::{Member, View};
 
-/// Milliseconds on a clock that only rises.
+/// A point in time or a duration, in milliseconds of a monotonic clock.
 pub type Ms = u64;
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,89 +1,100 @@
-//! What the group keeps. A command is checked against the state and gives events; the state is folded from these.
+//! The replicated state. A command is checked against the state and yields events; applying events changes the state.
 use crate::stores::{Store, StoreView};
 use borsh::{BorshDeserialize, BorshSerialize};
 use settings::{Configuration, Faults, Location, Tolerance};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// How many taken configurations are remembered, so that their repeats are answered as they were.
+/// How many applied configurations are remembered, so that a repeated request gets the same answer as the first one.
 pub const REMEMBERED_CONFIGURATIONS: usize = 4_096;
 
-/// A configuration that was taken.
+/// A configuration that was put into force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct AppliedConfiguration {
     pub version: u64,
-    /// The version that it was built on.
+    /// The version that was in force before, on which this one was built.
     pub base: u64,
-    /// Digest of its body.
+    /// Digest of the body.
     pub digest: u128,
 }
 
-/// How old a state is: of two, the one with the later position has everything that was in force in the other.
+/// Where a state stands in the sequence of changes. Of two states, the one with the greater position includes every change
+/// that was in force in the other.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct Position {
-    /// The epoch of the primary that made it or took it over.
+    /// The epoch of the primary that made the last change, or that took the state over from an earlier epoch.
     pub epoch: u64,
-    /// How many changes were made before, and this.
+    /// The number of changes so far.
     pub number: u64,
 }
 
-/// The whole state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct State {
     /// The position of the last change.
     pub position: Position,
+    /// The version of the configuration in force; 0 if there is none yet.
     pub version: u64,
     /// The configuration in force, as it was sent.
     pub body: Vec<u8>,
+    /// The configurations that were put into force, the newest last, up to [`REMEMBERED_CONFIGURATIONS`].
     pub applied: Vec<AppliedConfiguration>,
     pub stores: StoreView,
 }
 
-/// What is asked of the state.
+/// A request to change the state.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Replace the configuration that has the version `base`.
     Configure { base: u64, body: Vec<u8> },
-    /// Stores with these disks are there, and say this of themselves.
+    /// These stores run, and report these details of themselves.
     StoresSeen(Vec<Store>),
-    /// A store's disk is lost; its heir is to be none of those that are silent, if another one is there.
+    /// A store's disk is lost. None of the unreachable stores becomes its successor if there is another one.
     StoreLost { disk: u64, unreachable: BTreeSet<u64> },
-    /// The first stores are known: share out the partitions.
+    /// The first stores are known: assign the partitions to them.
     AssignPartitions,
-    /// Empty the store of this name; as many others have to stay, and in as many places, as may be lost and one more.
+    /// Empty the store with this name. The remaining stores have to outnumber the machines that may be lost at once, and may
+    /// be no worse spread over zones and regions than before.
     Retire { name: String, tolerance: Tolerance },
-    /// All that a retiring store had is elsewhere.
+    /// Everything that a retiring store had is elsewhere.
     Retired(u64),
-    /// All that a lost store had is elsewhere, whole: nothing rests on it any more.
+    /// Everything that a lost store had is fully replicated elsewhere: nothing depends on it any more.
     Emptied(u64),
 }
 
-/// What changes the state.
+/// A change of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Event {
+    /// A configuration was put into force.
     Configured { applied: AppliedConfiguration, body: Vec<u8> },
+    /// A store was added, or reported new details.
     StoreUpserted(Store),
+    /// A store was declared lost.
     StoreLost { disk: u64, successor: Option<u64> },
+    /// The partitions were assigned to the first stores.
     PartitionsAssigned,
+    /// The store with this disk is being emptied.
     Retiring(u64),
+    /// The retiring store with this disk is empty.
     Retired(u64),
+    /// Everything that the lost store with this disk had is fully replicated elsewhere.
     Emptied(u64),
 }
 
-/// Why a command changes nothing.
+/// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejected {
     /// The configuration has faults.
     Invalid(Faults),
-    /// Another version is in force.
+    /// The command is built on a version other than the one in force.
     Stale { current: u64 },
-    /// It is built on a version so old that it isn't remembered whether it was taken.
+    /// The command is built on a version so old that it isn't known any more whether it was applied.
     BaseTooOld { base: u64 },
     /// No store has this name.
     UnknownStore,
-    /// Too few stores would stay.
+    /// Too few stores would remain.
     TooFewStores,
 }
 
@@ -95,12 +106,12 @@
                 write!(f, "version {current} is in force; read it, and build the change on it")
             }
             Rejected::BaseTooOld { base } => {
-                write!(f, "it is not known any more what was built on version {base}; read the configuration")
+                write!(f, "whether a change to version {base} was applied is no longer known; read the configuration")
             }
             Rejected::UnknownStore => f.write_str("no store has this name; see the status for their names"),
-            Rejected::TooFewStores => {
-                f.write_str("too few stores would stay, or in too few zones or regions; add one there first")
-            }
+            Rejected::TooFewStores => f.write_str(
+                "too few stores would remain, or in too few zones or regions; add a store there first",
+            ),
         }
     }
 }
@@ -108,7 +119,7 @@
 impl std::error::Error for Rejected {}
 
 impl State {
-    /// The events that a command gives; none where what it asks for holds already.
+    /// The events that a command yields; none if the state is already as requested.
     pub fn decide(&self, command: &Command) -> Result<Vec<Event>, Rejected> {
         match command {
             Command::Configure { base, body } => self.configure(*base, body),
@@ -145,12 +156,12 @@
             return Ok(Vec::new());
         }
         let remaining = self.stores.remaining();
-        let locations: Vec<&Location> = remaining.clone().map(|remaining| &remaining.location).collect();
+        let locations: Vec<&Location> = remaining.clone().map(|store| &store.location).collect();
         let others: Vec<&Location> =
             remaining.filter(|other| other.disk != store.disk).map(|other| &other.location).collect();
-        // Where the stores don't bear all of the tolerance, they bear no less of it without this one.
-        let spread = tolerance.missing_spread(&others) <= tolerance.missing_spread(&locations);
-        match others.len() > tolerance.copies() && (spread || !tolerance.needs_spread()) {
+        // Stores that don't satisfy the tolerance now must not fall shorter of it without this one.
+        let keeps_spread = tolerance.missing_spread(&others) <= tolerance.missing_spread(&locations);
+        match others.len() > tolerance.copies() && (keeps_spread || !tolerance.needs_spread()) {
             true => Ok(vec![Event::Retiring(store.disk)]),
             false => Err(Rejected::TooFewStores),
         }
@@ -179,16 +190,16 @@
         Ok(vec![Event::Configured { applied, body: body.to_vec() }])
     }
 
-    /// Each store is looked at by the view with those before it.
+    /// The events for several reported stores; each is compared with the view that includes the ones before it.
     fn stores_seen(&self, stores: &[Store]) -> Vec<Event> {
         let mut after = State { stores: self.stores.clone(), ..State::default() };
-        let mut all = Vec::new();
+        let mut all_events = Vec::new();
         for store in stores {
             let events = after.store_seen(store);
             events.iter().for_each(|event| after.apply(event));
-            all.extend(events);
+            all_events.extend(events);
         }
-        all
+        all_events
     }
 
     fn store_seen(&self, store: &Store) -> Vec<Event> {
@@ -196,22 +207,22 @@
             Some(known) if known.declared_lost || known.has_same_details(store) => Vec::new(),
             Some(_) => vec![Event::StoreUpserted(store.clone())],
             None => {
-                // Another disk at the same machine: the one before is lost.
-                let before = self.stores.active().find(|s| s.name == store.name || s.ip == store.ip);
-                let lost = before.map(|before| self.replaced_by(before.disk, store));
+                // A different disk on the same machine: the previous one is lost.
+                let previous = self.stores.active().find(|s| s.name == store.name || s.ip == store.ip);
+                let lost = previous.map(|previous| self.replaced_by(previous.disk, store));
                 [Event::StoreUpserted(store.clone())].into_iter().chain(lost).collect()
             }
         }
     }
 
-    /// A store's disk is lost, as another one at its machine shows, which is known from then on.
+    /// Declares a disk lost because another one has appeared on its machine. The replacement may become its successor.
     fn replaced_by(&self, disk: u64, replacement: &Store) -> Event {
         let mut stores = self.stores.clone();
         stores.upsert(replacement.clone());
         Event::StoreLost { disk, successor: stores.choose_successor(disk, &BTreeSet::new()) }
     }
 
-    /// Carries out an event.
+    /// Applies an event to the state.
     pub fn apply(&mut self, event: &Event) {
         match event {
             Event::Configured { applied, body } => {
--- a/crates/control/src/stores.rs
+++ b/crates/control/src/stores.rs
@@ -1,44 +1,47 @@
-//! The stores of a system, by the identity of their disks.
+//! The stores of a system, identified by their disks, and the owners of the partitions.
 use borsh::{BorshDeserialize, BorshSerialize};
 use settings::Location;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// Keys are shared out by partitions; each has one owner. Enough that the stores' shares of them differ little.
+/// The number of partitions of the key space; each has one owner. There are enough of them to give all stores nearly equal
+/// shares.
 pub const PARTITIONS: usize = 256;
 
-/// A store.
+/// A store that is or was part of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Store {
-    /// The identity of its disk.
+    /// The identity of the store's disk.
     pub disk: u64,
     pub name: String,
     pub ip: IpAddr,
     pub location: Location,
-    /// Its disk is lost: nothing that it held is there, and nothing is taken from it.
+    /// The disk was declared lost: the data on it doesn't count any more, and nothing is accepted from this store.
     pub declared_lost: bool,
-    /// Who takes over what a lost store owned.
+    /// The disk of the store that takes over what this one owned, once it is declared lost.
     pub successor: Option<u64>,
-    /// It said that it stops as planned, and hasn't been heard as running since: others keep what it kept.
+    /// The store announced a planned stop and hasn't reported since that it runs. Other stores hold the
+    /// copies that it held.
     pub leaving: bool,
-    /// It is to be emptied and taken away.
+    /// The store is being emptied, to be removed from the system.
     pub retiring: bool,
-    /// All that it had is elsewhere, whole: it may be taken away, or was lost and isn't missed any more.
+    /// Everything the store had is fully replicated elsewhere: it may be removed or, if it was lost, no longer counts as a
+    /// loss.
     pub emptied: bool,
 }
 
-/// All stores, and who owns which partition.
+/// All stores, and the owner of each partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct StoreView {
-    /// Rises with every change.
+    /// Increases with every change of this view.
     pub epoch: u64,
     pub stores: Vec<Store>,
-    /// The disk that owns each partition; empty until the first stores are known.
+    /// The disk of the owner, by partition; empty until the partitions are first assigned.
     pub owners: Vec<u64>,
 }
 
 impl Store {
-    /// A store that nothing is known of but what it says of itself.
+    /// A newly reported store: not lost and not retiring.
     pub fn new(disk: u64, name: String, ip: IpAddr, location: Location, leaving: bool) -> Store {
         Store {
             disk,
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Whether another store that is there says the same of itself.
+    /// Whether a report from a running store has the same disk, name, address, location and `leaving` flag as this one.
     pub fn has_same_details(&self, other: &Store) -> bool {
         let same_machine = self.name == other.name && self.ip == other.ip && self.location == other.location;
         self.disk == other.disk && same_machine && self.leaving == other.leaving
@@ -61,33 +64,34 @@
 }
 
 impl StoreView {
-    /// The store of a disk.
+    /// The store with this disk.
     pub fn get(&self, disk: u64) -> Option<&Store> {
         self.stores.iter().find(|store| store.disk == disk)
     }
 
-    /// Stores whose disks are not lost.
+    /// Stores that weren't declared lost.
     pub fn active(&self) -> impl Iterator<Item = &Store> + Clone {
         self.stores.iter().filter(|store| !store.declared_lost)
     }
 
-    /// Stores that are there to stay.
+    /// Stores that were neither declared lost nor asked to retire.
     pub fn remaining(&self) -> impl Iterator<Item = &Store> + Clone {
         self.active().filter(|store| !store.retiring)
     }
 
-    /// The store of this name that was asked to retire last.
+    /// The retiring or retired store with this name; the newest one if there were several.
     pub fn last_retiring_named(&self, name: &str) -> Option<&Store> {
         self.stores.iter().rev().find(|store| store.retiring && store.name == name)
     }
 
-    /// Who owns a key, by a digest of it.
+    /// The store that owns a key, given a digest of the key.
     pub fn owner(&self, key: u64) -> Option<&Store> {
         let partition = key as usize % PARTITIONS;
         self.owners.get(partition).and_then(|disk| self.get(*disk))
     }
 
-    /// Who has what a lost store owned now: the last of the line of heirs.
+    /// The store that has taken over, or has to take over, what a store owned: the last one in the chain of successors. This
+    /// is the store itself unless it was declared lost, and none if the last one of the chain was declared lost too.
     pub fn final_successor(&self, disk: u64) -> Option<u64> {
         let mut store = self.get(disk)?;
         for _ in 0..self.stores.len() {
@@ -99,16 +103,13 @@
         (!store.declared_lost).then_some(store.disk)
     }
 
-    /// Lost stores whose messages a store has to take over.
+    /// The disks of the lost stores whose messages a store has to take over.
     pub fn lost_stores_taken_over_by(&self, disk: u64) -> Vec<u64> {
-        let declared_lost = self.stores.iter().filter(|store| store.declared_lost);
-        declared_lost
-            .filter(|store| self.final_successor(store.disk) == Some(disk))
-            .map(|store| store.disk)
-            .collect()
+        let lost = self.stores.iter().filter(|store| store.declared_lost);
+        lost.filter(|store| self.final_successor(store.disk) == Some(disk)).map(|store| store.disk).collect()
     }
 
-    /// Adds a store, or notes what it says of itself now.
+    /// Adds a store, or updates the details that a known store reports.
     pub fn upsert(&mut self, store: Store) {
         match self.stores.iter_mut().find(|known| known.disk == store.disk) {
             Some(known) => {
@@ -120,17 +121,17 @@
         self.epoch += 1;
     }
 
-    /// Shares out the partitions among the active stores, once.
+    /// Assigns the partitions evenly to the active stores, unless they were assigned before.
     pub fn assign_partitions(&mut self) {
         let mut disks: Vec<u64> = self.active().map(|store| store.disk).collect();
         disks.sort_unstable();
         if self.owners.is_empty() && !disks.is_empty() {
-            self.owners = (0..PARTITIONS).map(|i| disks[i % disks.len()]).collect();
+            self.owners = (0..PARTITIONS).map(|partition| disks[partition % disks.len()]).collect();
             self.epoch += 1;
         }
     }
 
-    /// A store's disk is lost: an heir takes over its partitions and its messages.
+    /// Declares a store's disk lost: its successor takes over its partitions and its messages.
     pub fn declare_lost(&mut self, disk: u64, successor: Option<u64>) {
         if let Some(store) = self.stores.iter_mut().find(|store| store.disk == disk) {
             store.declared_lost = true;
@@ -142,7 +143,7 @@
         self.epoch += 1;
     }
 
-    /// A store begins to retire, or has.
+    /// Marks a store as retiring or, with `emptied`, as retired.
     pub fn retire(&mut self, disk: u64, emptied: bool) {
         if let Some(store) = self.stores.iter_mut().find(|store| store.disk == disk) {
             (store.retiring, store.emptied) = (true, emptied);
@@ -150,7 +151,7 @@
         }
     }
 
-    /// All that a lost store had is elsewhere.
+    /// Marks a lost store as emptied: everything it had is fully replicated elsewhere.
     pub fn mark_emptied(&mut self, disk: u64) {
         if let Some(store) = self.stores.iter_mut().find(|store| store.disk == disk) {
             store.emptied = true;
@@ -158,16 +159,23 @@
         }
     }
 
-    /// The store that should take over from one, if its disk is lost: one that isn't silent or about to stop, if there is
-    /// one, and of these the one that owns least; then one of the same name, then the nearest.
+    /// The store that should take over if this disk is declared lost. Preferred is, in this order: a store that is reachable
+    /// and not about to stop, the one that owns the fewest partitions, one with the same name, the nearest one.
     pub fn choose_successor(&self, disk: u64, unreachable: &BTreeSet<u64>) -> Option<u64> {
         let lost = self.get(disk)?;
-        let owned = |store: &Store| self.owners.iter().filter(|owner| **owner == store.disk).count();
+        let owned_partitions =
+            |store: &Store| self.owners.iter().filter(|owner| **owner == store.disk).count();
         let others = self.remaining().filter(|store| store.disk != disk);
-        let order = |s: &&Store| {
+        let preference = |s: &&Store| {
             let distance = s.location.distance(&lost.location);
-            (s.leaving || unreachable.contains(&s.disk), owned(s), s.name != lost.name, distance, s.disk)
+            (
+                s.leaving || unreachable.contains(&s.disk),
+                owned_partitions(s),
+                s.name != lost.name,
+                distance,
+                s.disk,
+            )
         };
-        others.min_by_key(order).map(|store| store.disk)
+        others.min_by_key(preference).map(|store| store.disk)
     }
 }
--- a/crates/control/tests/exhaustive.rs
+++ b/crates/control/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! The control group, every interleaving within bounds: three members and the program's own steps. Messages that were
-//! sent arrive in any order, now, later or never; time passes in steps that let a lease end and an election begin; one
-//! machine is restarted or loses its disk; two operators send an order each, on one version.
+//! Model checking of the control group: every interleaving of three members within bounds, with the real implementation.
+//! Messages arrive in any order, now, later or never. Time advances in steps long enough to end a lease or to begin an
+//! election. One machine is restarted or loses its disk, and two operators each propose a change to the same version.
 use control::{
     ChangeId, Command, DurableState, Group, GroupSettings, Member, Message, Ms, Outgoing, Reply, Storage,
 };
@@ -11,7 +11,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 const MACHINES: usize = 3;
-/// One step of time: more than the patience of a member.
+/// One step of time: longer than a member waits for a primary.
 const STEP: Ms = 900;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -23,56 +23,56 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Packet {
-    Asks { sent: Ms, from: usize, to: usize, message: Message },
-    Answers { sent: Ms, to: usize, message: Message, reply: Box<Reply> },
+    Request { sent: Ms, from: usize, to: usize, message: Message },
+    Reply { sent: Ms, to: usize, message: Message, reply: Box<Reply> },
 }
 
 impl Packet {
-    /// For an order of its own: packets are kept in a set.
+    /// A key that identifies and orders the packets in flight.
     fn key(&self) -> Vec<u8> {
         match self {
-            Packet::Asks { sent, from, to, message } => {
+            Packet::Request { sent, from, to, message } => {
                 borsh::to_vec(&(0u8, *sent, *from as u64, *to as u64, message)).unwrap()
             }
-            Packet::Answers { sent, to, message, reply } => {
+            Packet::Reply { sent, to, message, reply } => {
                 borsh::to_vec(&(1u8, *sent, *to as u64, message, reply)).unwrap()
             }
         }
     }
 }
 
-/// What may still happen.
+/// How many actions of each kind may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Bounds {
     steps: u8,
     restarts: u8,
-    wipes: u8,
-    orders: u8,
+    disk_losses: u8,
+    proposals: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     machines: Vec<Group<Memory>>,
-    net: BTreeMap<Vec<u8>, Packet>,
+    in_flight: BTreeMap<Vec<u8>, Packet>,
     now: Ms,
-    left: Bounds,
+    remaining: Bounds,
     next_disk: u64,
-    /// Orders that a machine is at.
-    waiting: Vec<(usize, ChangeId, u64)>,
+    /// Proposed changes that aren't committed yet: the machine, the change and its version.
+    pending: Vec<(usize, ChangeId, u64)>,
     /// Versions that were confirmed, all built on version 0.
     confirmed: BTreeSet<u64>,
-    /// Who led each epoch.
+    /// The disk of the primary, by epoch.
     leaders: BTreeMap<u64, u64>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Deliver(Vec<u8>),
-    Pass,
+    AdvanceTime,
     Restart(usize),
-    Wipe(usize),
-    Order(usize),
+    LoseDisk(usize),
+    Propose(usize),
 }
 
 fn ip(i: usize) -> IpAddr {
@@ -91,24 +91,24 @@
 }
 
 impl World {
-    /// A group that leads, with nothing on its way.
-    fn founded(left: Bounds) -> World {
+    /// A group with a primary and no messages in flight.
+    fn founded(remaining: Bounds) -> World {
         let fresh = |i: usize| DurableState { disk: i as u64 + 1, ..DurableState::default() };
         let machines = (0..MACHINES).map(|i| machine(i, fresh(i), true, 1)).collect();
         let mut world = World {
             machines,
-            net: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             now: 1,
-            left,
+            remaining,
             next_disk: 10,
-            waiting: Vec::new(),
+            pending: Vec::new(),
             confirmed: BTreeSet::new(),
             leaders: BTreeMap::new(),
-            broken: None,
+            violation: None,
         };
         while world.now < 1_000 {
-            world.pass(10);
-            while let Some((_, packet)) = world.net.pop_first() {
+            world.advance_time(10);
+            while let Some((_, packet)) = world.in_flight.pop_first() {
                 world.deliver(packet);
             }
         }
@@ -120,81 +120,81 @@
         (0..MACHINES).find(|i| self.machines[*i].leads(self.now).is_some())
     }
 
-    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
-        for Outgoing { to, message } in out {
+    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+        for Outgoing { to, message } in outgoing {
             let Some(to) = (0..MACHINES).find(|i| ip(*i) == to) else { continue };
-            let packet = Packet::Asks { sent: self.now, from, to, message };
-            self.net.insert(packet.key(), packet);
+            let packet = Packet::Request { sent: self.now, from, to, message };
+            self.in_flight.insert(packet.key(), packet);
         }
     }
 
     fn deliver(&mut self, packet: Packet) {
         let now = self.now;
         match packet {
-            Packet::Asks { sent, from, to, message } => {
-                let (reply, out) = self.machines[to].handle(ip(from), message.clone(), now);
-                self.send(to, out);
-                let answer = Packet::Answers { sent, to: from, message, reply: Box::new(reply) };
-                self.net.insert(answer.key(), answer);
+            Packet::Request { sent, from, to, message } => {
+                let (reply, outgoing) = self.machines[to].handle(ip(from), message.clone(), now);
+                self.send(to, outgoing);
+                let packet = Packet::Reply { sent, to: from, message, reply: Box::new(reply) };
+                self.in_flight.insert(packet.key(), packet);
             }
-            Packet::Answers { sent, to, message, reply } => {
-                let out = self.machines[to].handle_reply(&message, sent, *reply, now);
-                self.send(to, out);
+            Packet::Reply { sent, to, message, reply } => {
+                let outgoing = self.machines[to].handle_reply(&message, sent, *reply, now);
+                self.send(to, outgoing);
             }
         }
-        self.look();
+        self.check_invariants();
     }
 
-    fn pass(&mut self, span: Ms) {
+    fn advance_time(&mut self, span: Ms) {
         self.now += span;
         for i in 0..MACHINES {
-            let out = self.machines[i].tick(self.now);
-            self.send(i, out);
+            let outgoing = self.machines[i].tick(self.now);
+            self.send(i, outgoing);
         }
-        self.look();
+        self.check_invariants();
     }
 
     fn restart(&mut self, i: usize, durable: DurableState) {
         self.machines[i] = machine(i, durable, false, self.now);
-        self.waiting.retain(|(at, _, _)| *at != i);
+        self.pending.retain(|(at, _, _)| *at != i);
     }
 
-    fn order(&mut self, i: usize, version: u64) {
+    fn propose(&mut self, i: usize, version: u64) {
         let body = format!(r#"{{"Version":{version},"Routes":[],"Backends":[]}}"#).into_bytes();
         let proposed = self.machines[i].try_propose(&Command::Configure { base: 0, body }, self.now);
-        if let Some(Ok((change, out))) = proposed {
-            self.send(i, out);
-            self.waiting.push((i, change, version));
+        if let Some(Ok((change, outgoing))) = proposed {
+            self.send(i, outgoing);
+            self.pending.push((i, change, version));
         }
-        self.look();
+        self.check_invariants();
     }
 
-    /// Notes what is confirmed and who leads, and whether that may be.
-    fn look(&mut self) {
+    /// Records confirmed changes and primaries, and checks the invariants.
+    fn check_invariants(&mut self) {
         for i in 0..MACHINES {
             let Some(view) = self.machines[i].leads(self.now) else { continue };
             let (epoch, disk) = (view.epoch, self.machines[i].durable().disk);
             if *self.leaders.entry(epoch).or_insert(disk) != disk {
-                self.broken = Some("an epoch has two primaries");
+                self.violation = Some("an epoch has two primaries");
             }
         }
-        for (i, change, version) in self.waiting.clone() {
+        for (i, change, version) in self.pending.clone() {
             if self.machines[i].is_committed(change, self.now) == Some(true) {
                 self.confirmed.insert(version);
             }
         }
         if self.confirmed.len() > 1 {
-            self.broken = Some("two orders on one version are confirmed");
+            self.violation = Some("two changes to one version are confirmed");
         }
         let newest = |i: &usize| self.machines[*i].view().map(|view| view.epoch);
         let leads = |i: &usize| self.machines[*i].leads(self.now).is_some();
         if let Some(i) = (0..MACHINES).filter(leads).max_by_key(newest) {
-            let taken = &self.machines[i].durable().state.applied;
-            let lost = |version: &u64| !taken.iter().any(|taken| taken.version == *version);
-            // An earlier primary may lead by its lease still; it confirms nothing any more.
+            let applied = &self.machines[i].durable().state.applied;
+            let lost = |version: &u64| !applied.iter().any(|applied| applied.version == *version);
+            // An earlier primary may still hold its lease, but it can't confirm anything any more.
             let latest = self.leaders.keys().max() == self.machines[i].view().map(|view| view.epoch).as_ref();
             if latest && self.confirmed.iter().any(lost) {
-                self.broken = Some("what was confirmed is lost");
+                self.violation = Some("a confirmed change is lost");
             }
         }
     }
@@ -211,19 +211,19 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        actions.extend(world.net.keys().cloned().map(Action::Deliver));
-        if world.left.steps > 0 {
-            actions.push(Action::Pass);
+        actions.extend(world.in_flight.keys().cloned().map(Action::Deliver));
+        if world.remaining.steps > 0 {
+            actions.push(Action::AdvanceTime);
         }
         for i in 0..MACHINES {
-            if world.left.restarts > 0 {
+            if world.remaining.restarts > 0 {
                 actions.push(Action::Restart(i));
             }
-            if world.left.wipes > 0 {
-                actions.push(Action::Wipe(i));
+            if world.remaining.disk_losses > 0 {
+                actions.push(Action::LoseDisk(i));
             }
-            if world.left.orders > 0 && world.machines[i].leads(world.now).is_some() {
-                actions.push(Action::Order(i));
+            if world.remaining.proposals > 0 && world.machines[i].leads(world.now).is_some() {
+                actions.push(Action::Propose(i));
             }
         }
     }
@@ -232,51 +232,51 @@
         let mut world = world.clone();
         match action {
             Action::Deliver(key) => {
-                let packet = world.net.remove(&key)?;
+                let packet = world.in_flight.remove(&key)?;
                 world.deliver(packet);
             }
-            Action::Pass => {
-                world.left.steps -= 1;
-                world.pass(STEP);
+            Action::AdvanceTime => {
+                world.remaining.steps -= 1;
+                world.advance_time(STEP);
             }
             Action::Restart(i) => {
-                world.left.restarts -= 1;
+                world.remaining.restarts -= 1;
                 let durable = world.machines[i].durable().clone();
                 world.restart(i, durable);
             }
-            Action::Wipe(i) => {
-                world.left.wipes -= 1;
+            Action::LoseDisk(i) => {
+                world.remaining.disk_losses -= 1;
                 let disk = world.next_disk;
                 world.next_disk += 1;
                 world.restart(i, DurableState { disk, ..DurableState::default() });
             }
-            Action::Order(i) => {
-                world.left.orders -= 1;
-                let version = 10 + u64::from(world.left.orders);
-                world.order(i, version);
+            Action::Propose(i) => {
+                world.remaining.proposals -= 1;
+                let version = 10 + u64::from(world.remaining.proposals);
+                world.propose(i, version);
             }
         }
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("nothing is broken", |_, world: &World| world.broken.is_none())]
+        vec![Property::always("no invariant is violated", |_, world: &World| world.violation.is_none())]
     }
 }
 
-/// So many states are looked at, at the most; where there are fewer within the bounds, all are.
-const MOST_STATES: usize = 600_000;
+/// At most this many states are visited; if the bounds allow fewer, all of them are.
+const MAX_STATES: usize = 600_000;
 
 #[rstest]
-#[case::one_step(Bounds { steps: 1, restarts: 0, wipes: 0, orders: 1 })]
-#[case::elections(Bounds { steps: 3, restarts: 0, wipes: 0, orders: 1 })]
-#[case::a_restart(Bounds { steps: 2, restarts: 1, wipes: 0, orders: 1 })]
-#[case::a_lost_disk(Bounds { steps: 2, restarts: 0, wipes: 1, orders: 1 })]
-#[case::two_orders(Bounds { steps: 2, restarts: 0, wipes: 0, orders: 2 })]
-fn no_interleaving_breaks_it(#[case] bounds: Bounds) {
-    let checker = Exhaustive(bounds).checker().threads(2).target_state_count(MOST_STATES).spawn_bfs().join();
+#[case::one_step(Bounds { steps: 1, restarts: 0, disk_losses: 0, proposals: 1 })]
+#[case::elections(Bounds { steps: 3, restarts: 0, disk_losses: 0, proposals: 1 })]
+#[case::a_restart(Bounds { steps: 2, restarts: 1, disk_losses: 0, proposals: 1 })]
+#[case::a_lost_disk(Bounds { steps: 2, restarts: 0, disk_losses: 1, proposals: 1 })]
+#[case::two_proposals(Bounds { steps: 2, restarts: 0, disk_losses: 0, proposals: 2 })]
+fn no_interleaving_violates_an_invariant(#[case] bounds: Bounds) {
+    let checker = Exhaustive(bounds).checker().threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
-    let all = if checker.state_count() < MOST_STATES { "all" } else { "not all" };
+    let all = if checker.state_count() < MAX_STATES { "all" } else { "not all" };
     println!("{bounds:?}: {states} states ({all} within the bounds), {depth} steps deep");
     checker.assert_properties();
     assert!(states > 1_000, "too few to tell");
--- a/crates/control/tests/network/disk.rs
+++ b/crates/control/tests/network/disk.rs
@@ -1,4 +1,4 @@
-//! The durable state of a control machine on a simulated disk: the real ring, the real file format.
+//! The durable state of a control machine on a simulated disk, with the real ring and file format.
 use control::disk::DiskStorage;
 use control::{DurableState, Storage};
 use ringlog::Shape;
@@ -8,14 +8,14 @@
 
 /// The disk of a control machine.
 pub trait ControlDisk {
-    /// An empty one.
+    /// An empty disk.
     fn empty() -> Self;
-    /// What a process that starts would find.
+    /// The state that a starting process would read.
     fn state(&self) -> DurableState;
-    /// Puts another state in place of the last one, as a planted mistake does.
+    /// Replaces the last state, for a planted bug.
     fn overwrite(&self, durable: &DurableState);
-    /// Opens the disk for a process that starts.
-    fn open(&self) -> (DurableState, Stored);
+    /// Opens the disk for a starting process.
+    fn open(&self) -> (DurableState, MemoryStorage);
 }
 
 impl ControlDisk for Memory {
@@ -32,21 +32,21 @@
         store.0.save(durable);
     }
 
-    fn open(&self) -> (DurableState, Stored) {
+    fn open(&self) -> (DurableState, MemoryStorage) {
         let (durable, disk) = DiskStorage::open(
             self.clone(),
             SHAPE,
             Box::new(|error| panic!("the state can't be written: {error}")),
         )
         .unwrap();
-        (durable, Stored(disk))
+        (durable, MemoryStorage(disk))
     }
 }
 
-/// The real disk of a control machine, on files in memory.
-pub struct Stored(DiskStorage<Memory>);
+/// The real storage of a control machine, on files in memory.
+pub struct MemoryStorage(DiskStorage<Memory>);
 
-impl Storage for Stored {
+impl Storage for MemoryStorage {
     fn save(&mut self, durable: &DurableState) {
         self.0.save(durable);
     }
--- a/crates/control/tests/network/mod.rs
+++ b/crates/control/tests/network/mod.rs
@@ -1,157 +1,162 @@
-//! A network of group members in simulated time. Messages are delayed, doubled, lost, and held up by cuts; machines are
-//! killed, frozen, without power, wiped, replaced and told to leave. Operators send orders and read back, at any machine
-//! and over and over, and remember what they were told.
+//! A network of group members in simulated time. Messages are delayed, duplicated, lost, and held up by partitions;
+//! machines are killed, frozen, wiped, replaced, asked to leave, or lose power. Operators send configuration changes and
+//! reads to any machine, repeat them, and record the answers.
 mod disk;
+mod faults;
 mod operators;
-mod troubles;
 
 use control::{Command, DurableState, Group, GroupSettings, LeaveStep, Member, Message, Ms, Outgoing, Reply};
-use disk::{ControlDisk as _, Memory, Stored};
+use disk::{ControlDisk as _, Memory, MemoryStorage};
+use faults::FaultInjection;
 use operators::Operators;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use settings::{Location, Tolerance};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr};
-use troubles::Troubles;
 
-pub use troubles::Regime;
+pub use faults::Regime;
 
+/// One step of simulated time.
 const STEP: Ms = 10;
-/// A new system has so long to come to its size.
-const FOUNDED: Ms = 5_000;
-/// After the loss of all that may be lost at once, another machine leads by then, in milliseconds.
-const UNTIL_LED: Ms = 2_500;
-/// After the last trouble everything has to be well again.
-const CALM: Ms = 12_000;
-
-/// A mistake that is planted to see whether the properties find it.
+/// The time in which a new system reaches its full size.
+const STARTUP_TIME: Ms = 5_000;
+/// The time in which another machine becomes primary after a loss of everything that may be lost at once.
+const FAILOVER_TIMEOUT: Ms = 2_500;
+/// The time in which the group has to recover after the last fault.
+const RECOVERY_TIME: Ms = 12_000;
+
+/// A bug that is planted to see whether the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
     None,
     /// Acknowledges a change before the backup has it.
     EarlyAcknowledgement,
-    /// A member with an empty disk takes itself for the one it was.
-    KeepsIdentity,
-    /// A disk loses the last state it was given.
-    ForgetsState,
-    /// A disk loses the view that it accepted.
-    ForgetsView,
-    /// A disk loses the epoch that it promised.
-    ForgetsPromise,
-    /// A disk loses which orders were taken.
-    ForgetsOrders,
-    /// A backup goes back to an older state that comes late.
-    KeepsOlderState,
-    /// A read is answered without asking a majority.
+    /// A member whose disk was wiped keeps its old identity.
+    ReusesIdentity,
+    /// A disk loses the stored state.
+    LosesState,
+    /// A disk loses the accepted view.
+    LosesView,
+    /// A disk loses the promised epoch.
+    LosesPromise,
+    /// A disk loses the record of applied configurations.
+    LosesAppliedConfigurations,
+    /// A backup returns to an older state that arrives late.
+    AcceptsOlderState,
+    /// A read is answered without confirmation by a majority.
     ReadsUnconfirmed,
-    /// An answer is taken for that to another call.
-    AnswerToAnother,
-    /// A member that leaves doesn't wait until others have what it holds.
-    LeavesAtOnce,
-    /// Where machines stand doesn't matter for who is a member.
+    /// A reply is attributed to another request.
+    MisroutedReply,
+    /// A leaving member doesn't wait until others hold its state.
+    StopsWithoutWaiting,
+    /// Members are chosen without regard to zones and regions.
     IgnoresLocations,
 }
 
 struct Machine {
     ip: IpAddr,
     disk: Memory,
-    group: Option<Group<Stored>>,
-    /// Down or frozen until then.
+    group: Option<Group<MemoryStorage>>,
+    /// When a machine that is down starts again.
     down_until: Ms,
     frozen_until: Ms,
-    /// It was told to stop, and goes by then at the latest.
+    /// A planned stop in progress.
     leaving: Option<Leaving>,
-    /// It is taken away for good.
+    /// It was removed permanently.
     removed: bool,
     founder: bool,
 }
 
-/// A loss that is looked at by itself.
+/// A single loss on an otherwise healthy network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// A disk: the machine is back after half a second, with an empty one.
+    /// A disk: the machine is back after half a second with an empty disk.
     Disk,
-    /// A machine, for good: an empty one comes after a second, at another address.
+    /// A machine, permanently: an empty one with another address is added after a second.
     Machine,
-    /// A planned replacement: the empty machine comes first.
+    /// A planned replacement: the empty machine is added first.
     Planned,
 }
 
+/// A planned stop of a machine.
 struct Leaving {
-    until: Ms,
-    asked: Ms,
-    /// How long it is away, or for good.
-    span: Option<Ms>,
+    /// The machine stops at this time at the latest.
+    deadline: Ms,
+    last_request: Ms,
+    /// How long the machine stays down; permanently if empty.
+    downtime: Option<Ms>,
 }
 
 enum Event {
-    Arrive { to: usize, from: IpAddr, sent: Ms, message: Message },
-    Return { to: usize, message: Message, sent: Ms, reply: Box<Reply> },
+    DeliverMessage { to: usize, from: IpAddr, sent: Ms, message: Message },
+    DeliverReply { to: usize, message: Message, sent: Ms, reply: Box<Reply> },
 }
 
-/// What a run shows of how much happened.
+/// What happened in a run, and the first violated property.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Outcome {
     pub acknowledged: usize,
-    pub repeated: usize,
-    pub refused: usize,
+    pub repeats: usize,
+    pub rejected: usize,
     pub reads: usize,
     pub epochs: usize,
     pub replaced: usize,
-    pub broken: Option<String>,
+    pub violation: Option<String>,
 }
 
+/// A simulated network of group members, with its operators and faults.
 pub struct Network {
-    lot: Pcg64Mcg,
+    rng: Pcg64Mcg,
     now: Ms,
     machines: Vec<Machine>,
     events: BTreeMap<(Ms, u64), Event>,
-    number: u64,
+    /// Numbers the events, which are ordered by time and then by this number.
+    next_event_number: u64,
     next_disk: u64,
     bug: Bug,
     /// How many machines may be lost at once.
     tolerance: usize,
-    /// What the machines are told that may be lost at once.
-    declared: Tolerance,
-    /// Where machines stand, by their order; nowhere known, if they are more.
+    /// What may be lost at once, as the machines are configured.
+    configured_tolerance: Tolerance,
+    /// The locations of the first machines; further machines have the default location.
     locations: Vec<Location>,
-    /// Machines act at the same moments, every so often, and all messages take as long as each other.
-    lockstep: Option<Ms>,
-    /// No message is lost, doubled or late.
-    sound: bool,
+    /// If set, all machines act at the same times, at this interval, and all messages take equally long.
+    lockstep_interval: Option<Ms>,
+    /// No message is lost or arrives very late.
+    reliable: bool,
     operators: Operators,
-    troubles: Troubles,
-    /// Who led each epoch.
+    faults: FaultInjection,
+    /// The disk of the primary, by epoch.
     leaders: BTreeMap<u64, u64>,
-    seen: Seen,
+    outcome: Outcome,
 }
 
 impl Network {
-    /// `count` machines, of which the first three found the system.
+    /// `count` machines, of which the first three are the founders.
     pub fn new(seed: u64, count: usize, tolerance: usize, bug: Bug) -> Network {
-        Network::under(seed, count, tolerance, bug, Regime::Tolerated)
+        Network::with_regime(seed, count, tolerance, bug, Regime::Tolerated)
     }
 
-    /// The same under another regime of troubles.
-    pub fn under(seed: u64, count: usize, tolerance: usize, bug: Bug, regime: Regime) -> Network {
+    /// The same with another fault regime.
+    pub fn with_regime(seed: u64, count: usize, tolerance: usize, bug: Bug, regime: Regime) -> Network {
         let mut network = Network {
-            lot: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             now: 1,
             machines: Vec::new(),
             events: BTreeMap::new(),
-            number: 0,
+            next_event_number: 0,
             next_disk: 100,
             bug,
             tolerance,
-            declared: Tolerance::of_machines(tolerance),
+            configured_tolerance: Tolerance::of_machines(tolerance),
             locations: Vec::new(),
-            lockstep: None,
-            sound: false,
+            lockstep_interval: None,
+            reliable: false,
             operators: Operators::default(),
-            troubles: Troubles::new(regime),
+            faults: FaultInjection::new(regime),
             leaders: BTreeMap::new(),
-            seen: Seen::default(),
+            outcome: Outcome::default(),
         };
         for _ in 0..count {
             network.add_machine(true);
@@ -159,14 +164,19 @@
         network
     }
 
-    /// Machines at these locations, on a sound network; the first three found the system.
-    pub fn at(seed: u64, locations: Vec<Location>, declared: Tolerance, bug: Bug) -> Network {
-        let mut network = Network::new(seed, 0, declared.copies(), bug);
-        network.declared = match bug {
-            Bug::IgnoresLocations => Tolerance::of_machines(declared.machines),
-            _ => declared,
+    /// Machines at these locations, on a reliable network; the first three are the founders.
+    pub fn with_locations(
+        seed: u64,
+        locations: Vec<Location>,
+        configured_tolerance: Tolerance,
+        bug: Bug,
+    ) -> Network {
+        let mut network = Network::new(seed, 0, configured_tolerance.copies(), bug);
+        network.configured_tolerance = match bug {
+            Bug::IgnoresLocations => Tolerance::of_machines(configured_tolerance.machines),
+            _ => configured_tolerance,
         };
-        network.sound = true;
+        network.reliable = true;
         let count = locations.len();
         network.locations = locations;
         for _ in 0..count {
@@ -175,14 +185,14 @@
         network
     }
 
-    /// Loses all machines at some locations, for good or for a while, in the instant after an order was confirmed. What is
-    /// broken by that: whatever of it was confirmed has to outlast it, and somebody has to lead meanwhile.
-    pub fn outlasts_loss(
+    /// Loses all machines at some locations, permanently or for a while, immediately after a change was confirmed. Fails if
+    /// no machine becomes primary in time, or if a confirmed change is lost.
+    pub fn survives_loss(
         mut self,
         is_lost: impl Fn(&Location) -> bool,
         away: Option<Ms>,
     ) -> Result<(), String> {
-        self.pass_calmly(FOUNDED + 3_000);
+        self.run_without_faults(STARTUP_TIME + 3_000);
         let confirmed = self.operators.confirmed_count();
         while self.operators.confirmed_count() == confirmed {
             self.step();
@@ -192,24 +202,24 @@
             self.power_off(i, away.unwrap_or(0));
             self.machines[i].removed = away.is_none();
         }
-        self.pass_calmly(self.now + UNTIL_LED);
+        self.run_without_faults(self.now + FAILOVER_TIMEOUT);
         if self.leader().is_none() {
-            return Err("nobody leads without what was lost".to_string());
+            return Err("no primary after the loss".to_string());
         }
-        self.pass_calmly(self.now + CALM);
-        self.check_end();
-        self.seen.broken.map_or(Ok(()), Err)
+        self.run_without_faults(self.now + RECOVERY_TIME);
+        self.check_final_state();
+        self.outcome.violation.map_or(Ok(()), Err)
     }
 
-    /// What the one that leads after a calm start says of the tolerance that its members can't give.
+    /// The unmet tolerance that the primary reports after a start without faults.
     pub fn unmet_tolerance(mut self) -> Option<String> {
-        self.pass_calmly(FOUNDED + 3_000);
-        self.group(self.leader().expect("somebody leads")).expect("it works").unmet_tolerance()
+        self.run_without_faults(STARTUP_TIME + 3_000);
+        self.group(self.leader().expect("a primary")).expect("is running").unmet_tolerance()
     }
 
-    /// The same, with machines that act at the same moments.
-    pub fn lockstep(seed: u64, count: usize, every: Ms) -> Network {
-        Network { lockstep: Some(every), ..Network::new(seed, count, 1, Bug::None) }
+    /// Like [`Network::new`] with a tolerance of one machine, with machines that all act at the same times.
+    pub fn in_lockstep(seed: u64, count: usize, every: Ms) -> Network {
+        Network { lockstep_interval: Some(every), ..Network::new(seed, count, 1, Bug::None) }
     }
 
     /// Adds a machine with an empty disk, and starts it.
@@ -230,9 +240,9 @@
         i
     }
 
-    /// Kills all machines at once after a calm start, and tells how long it takes until somebody leads again.
-    pub fn recovery(mut self) -> Option<Ms> {
-        self.pass_calmly(FOUNDED);
+    /// Kills all machines at once after a start without faults; the time from their restart until one is primary again.
+    pub fn recovery_time(mut self) -> Option<Ms> {
+        self.run_without_faults(STARTUP_TIME);
         (0..self.machines.len()).for_each(|i| self.kill(i, 500));
         let back = self.now + 500;
         while self.now < back + 10_000 {
@@ -244,34 +254,35 @@
         None
     }
 
-    /// Lets time pass without troubles.
-    pub fn pass_calmly(&mut self, until: Ms) {
+    /// Advances the time without faults.
+    pub fn run_without_faults(&mut self, until: Ms) {
         while self.now < until {
             self.step();
         }
     }
 
-    /// Loses a machine after a calm start on a sound network, and tells how long it takes until the next loss is borne: from when its
-    /// successor is there, or from when it has left as planned.
-    pub fn until_next_loss_is_borne(mut self, loss: Loss) -> Option<Ms> {
-        self.sound = true;
-        self.pass_calmly(FOUNDED + 2_000);
-        let i = self.lot.random_range(0..self.machines.len());
+    /// Loses a machine or a disk on a reliable network, after a start without faults. The time until the next loss is
+    /// tolerated, from the start of the replacement or from the end of the planned leave.
+    pub fn time_until_next_loss_is_tolerated(mut self, loss: Loss) -> Option<Ms> {
+        self.reliable = true;
+        self.run_without_faults(STARTUP_TIME + 2_000);
+        let i = self.rng.random_range(0..self.machines.len());
         match loss {
             Loss::Disk => {
                 self.wipe(i, 500);
-                self.pass_calmly(self.now + 500);
+                self.run_without_faults(self.now + 500);
             }
             Loss::Machine => {
                 self.machines[i].group = None;
                 self.machines[i].removed = true;
-                self.pass_calmly(self.now + 1_000);
+                self.run_without_faults(self.now + 1_000);
                 self.add_machine(false);
             }
             Loss::Planned => {
                 self.add_machine(false);
-                self.pass_calmly(self.now + 4_500);
-                self.machines[i].leaving = Some(Leaving { until: self.now + 3_000, asked: 0, span: None });
+                self.run_without_faults(self.now + 4_500);
+                self.machines[i].leaving =
+                    Some(Leaving { deadline: self.now + 3_000, last_request: 0, downtime: None });
                 while !self.machines[i].removed {
                     self.step();
                 }
@@ -279,7 +290,7 @@
         }
         let from = self.now;
         while self.now < from + 20_000 {
-            if self.bears_a_loss() {
+            if self.tolerates_a_loss() {
                 return Some(self.now - from);
             }
             self.step();
@@ -287,40 +298,41 @@
         None
     }
 
-    /// Somebody leads a whole view: all its members are there, and no others decide.
-    fn bears_a_loss(&self) -> bool {
+    /// Whether there is a primary whose view is complete: all members run, and no previous members have a vote.
+    fn tolerates_a_loss(&self) -> bool {
         let Some(group) = self.leader().and_then(|leader| self.group(leader)) else { return false };
-        let view = group.view().expect("it leads");
-        let there = |disk: u64| {
+        let view = group.view().expect("is primary");
+        let is_running = |disk: u64| {
             self.machines.iter().filter_map(|m| m.group.as_ref()).any(|g| g.durable().disk == disk)
         };
-        let alone = view.previous_members.is_empty() || view.previous_members == view.members;
-        let whole = view.members.len() == 2 * self.tolerance + 1;
-        whole && alone && view.members.iter().all(|member| there(member.disk))
+        let is_stable = view.previous_members.is_empty() || view.previous_members == view.members;
+        let is_complete = view.members.len() == 2 * self.tolerance + 1;
+        is_complete && is_stable && view.members.iter().all(|member| is_running(member.disk))
     }
 
-    /// The machine that leads, by its lease.
+    /// The machine that holds a valid lease as primary, in the latest epoch if there are several.
     pub fn leader(&self) -> Option<usize> {
-        let leads =
-            |i: &usize| self.works(*i) && self.group(*i).is_some_and(|group| group.leads(self.now).is_some());
+        let leads = |i: &usize| {
+            self.is_running(*i) && self.group(*i).is_some_and(|group| group.leads(self.now).is_some())
+        };
         let epoch = |i: &usize| self.group(*i).and_then(|group| group.view()).map(|view| view.epoch);
         (0..self.machines.len()).filter(leads).max_by_key(epoch)
     }
 
-    fn group(&self, i: usize) -> Option<&Group<Stored>> {
+    fn group(&self, i: usize) -> Option<&Group<MemoryStorage>> {
         self.machines[i].group.as_ref()
     }
 
-    fn is_lost(&mut self) -> bool {
-        !self.sound && self.lockstep.is_none() && self.lot.random_bool(0.02)
+    fn drops_message(&mut self) -> bool {
+        !self.reliable && self.lockstep_interval.is_none() && self.rng.random_bool(0.02)
     }
 
     fn delay(&mut self) -> Ms {
-        match self.lockstep {
+        match self.lockstep_interval {
             Some(_) => 10,
-            // Now and then a message waits in a connection that is made anew.
-            None if !self.sound && self.lot.random_bool(0.01) => self.lot.random_range(300..4_000),
-            None => self.lot.random_range(1..25),
+            // Sometimes a message waits until a connection has been reopened.
+            None if !self.reliable && self.rng.random_bool(0.01) => self.rng.random_range(300..4_000),
+            None => self.rng.random_range(1..25),
         }
     }
 
@@ -336,72 +348,75 @@
         let location = self.locations.get(i).cloned().unwrap_or_default();
         let me = Member { disk: durable.disk, name: format!("m{i}"), ip: machine.ip, location };
         let founder = first && fresh && machine.founder;
-        let settings = GroupSettings { me, founders, founder, tolerance: self.declared };
+        let settings = GroupSettings { me, founders, founder, tolerance: self.configured_tolerance };
         machine.leaving = None;
         machine.group = Some(Group::new(settings, durable, storage, self.now));
     }
 
     fn schedule(&mut self, after: Ms, event: Event) {
-        self.number += 1;
-        self.events.insert((self.now + after, self.number), event);
+        self.next_event_number += 1;
+        self.events.insert((self.now + after, self.next_event_number), event);
     }
 
     fn index(&self, ip: IpAddr) -> Option<usize> {
         self.machines.iter().position(|machine| machine.ip == ip)
     }
 
-    /// When something that is sent now arrives, or never: what a cut holds up may come once it heals.
-    fn arrival(&mut self, from: usize, to: usize) -> Option<Ms> {
-        if self.is_lost() {
+    /// The delay of a message that is sent now; none if it is lost. A message held up by a partition may arrive after it.
+    fn arrival_delay(&mut self, from: usize, to: usize) -> Option<Ms> {
+        if self.drops_message() {
             return None;
         }
         let delay = self.delay();
-        if !self.troubles.is_cut(from, to) {
+        if !self.faults.is_blocked(from, to) {
             return Some(delay);
         }
-        let held = self.lot.random_bool(0.5);
-        held.then(|| self.troubles.cut_until().saturating_sub(self.now) + delay)
+        let arrives_later = self.rng.random_bool(0.5);
+        arrives_later.then(|| self.faults.partition_end().saturating_sub(self.now) + delay)
     }
 
-    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
-        for Outgoing { to, message } in out {
+    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+        for Outgoing { to, message } in outgoing {
             let Some(to) = self.index(to) else { continue };
             let (sent, ip) = (self.now, self.machines[from].ip);
-            let copies = 1 + usize::from(self.lockstep.is_none() && self.lot.random_bool(0.01));
+            let copies = 1 + usize::from(self.lockstep_interval.is_none() && self.rng.random_bool(0.01));
             for _ in 0..copies {
-                if let Some(delay) = self.arrival(from, to) {
-                    self.schedule(delay, Event::Arrive { to, from: ip, sent, message: message.clone() });
+                if let Some(delay) = self.arrival_delay(from, to) {
+                    self.schedule(
+                        delay,
+                        Event::DeliverMessage { to, from: ip, sent, message: message.clone() },
+                    );
                 }
             }
         }
     }
 
-    fn works(&self, i: usize) -> bool {
+    fn is_running(&self, i: usize) -> bool {
         let machine = &self.machines[i];
         machine.group.is_some() && self.now >= machine.frozen_until
     }
 
-    /// Plays for a time, with troubles, then without any; then checks what was acknowledged.
-    pub fn play(mut self, troubles_for: Ms) -> Seen {
-        let calm_from = self.now + troubles_for;
-        while self.now < calm_from + CALM && self.seen.broken.is_none() {
-            if self.now < calm_from {
-                self.trouble();
-            } else if self.now < calm_from + STEP {
-                self.bring_back_all();
+    /// Runs with faults for a time, then without, and checks the final state.
+    pub fn run(mut self, fault_period: Ms) -> Outcome {
+        let fault_end = self.now + fault_period;
+        while self.now < fault_end + RECOVERY_TIME && self.outcome.violation.is_none() {
+            if self.now < fault_end {
+                self.inject_faults();
+            } else if self.now < fault_end + STEP {
+                self.end_all_faults();
             }
             self.step();
         }
-        if self.seen.broken.is_none() {
-            self.check_end();
+        if self.outcome.violation.is_none() {
+            self.check_final_state();
         }
-        self.operators.count(&mut self.seen);
-        self.seen.epochs = self.leaders.len();
-        self.seen
+        self.operators.add_to_outcome(&mut self.outcome);
+        self.outcome.epochs = self.leaders.len();
+        self.outcome
     }
 
-    fn bring_back_all(&mut self) {
-        self.troubles.heal();
+    fn end_all_faults(&mut self) {
+        self.faults.heal();
         for machine in &mut self.machines {
             machine.down_until = machine.down_until.min(self.now);
             machine.frozen_until = machine.frozen_until.min(self.now);
@@ -419,94 +434,98 @@
         }
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let event = entry.remove();
-            self.happen(event);
+            self.process_event(event);
         }
         for i in 0..self.machines.len() {
-            if self.works(i) && self.lockstep.is_none_or(|every| self.now % every < STEP) {
+            if self.is_running(i) && self.lockstep_interval.is_none_or(|every| self.now % every < STEP) {
                 let now = self.now;
-                let out = self.machines[i].group.as_mut().expect("works").tick(now);
-                self.send_if_lit(i, out);
-                self.go_on_leaving(i);
+                let outgoing = self.machines[i].group.as_mut().expect("is running").tick(now);
+                self.send_if_powered(i, outgoing);
+                self.continue_leaving(i);
             }
         }
-        self.watch_leaders();
-        self.operate();
+        self.check_leaders();
+        self.run_operators();
     }
 
-    /// What a machine says counts only if its disk still had power when it was kept.
-    fn send_if_lit(&mut self, i: usize, out: Vec<Outgoing>) {
+    /// Sends messages unless the disk lost power while the machine handled the event; it then goes down instead.
+    fn send_if_powered(&mut self, i: usize, outgoing: Vec<Outgoing>) {
         if self.machines[i].disk.is_dark() {
-            let span = self.lot.random_range(100..2_000);
-            return self.power_off(i, span);
+            let downtime = self.rng.random_range(100..2_000);
+            return self.power_off(i, downtime);
         }
-        self.send(i, out);
+        self.send(i, outgoing);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         let to = match &event {
-            Event::Arrive { to, .. } | Event::Return { to, .. } => *to,
+            Event::DeliverMessage { to, .. } | Event::DeliverReply { to, .. } => *to,
         };
         if self.machines[to].group.is_none() {
             return;
         }
-        if !self.works(to) {
-            // What waits in its sockets is read one after the other when it wakes.
-            let wait = self.machines[to].frozen_until - self.now + self.lot.random_range(0..400);
-            return self.schedule(wait, event);
+        if !self.is_running(to) {
+            // Messages that wait in its sockets are read one after the other when it wakes up.
+            let delay = self.machines[to].frozen_until - self.now + self.rng.random_range(0..400);
+            return self.schedule(delay, event);
         }
         match event {
-            Event::Arrive { from, sent, message, .. } => self.arrive(to, from, sent, message),
-            Event::Return { message, sent, reply, .. } => self.come_back(to, message, sent, *reply),
+            Event::DeliverMessage { from, sent, message, .. } => {
+                self.deliver_message(to, from, sent, message)
+            }
+            Event::DeliverReply { message, sent, reply, .. } => self.deliver_reply(to, message, sent, *reply),
         }
     }
 
-    fn arrive(&mut self, to: usize, from: IpAddr, sent: Ms, message: Message) {
+    fn deliver_message(&mut self, to: usize, from: IpAddr, sent: Ms, message: Message) {
         let now = self.now;
-        self.go_back_to_older_state(to, &message);
-        let group = self.machines[to].group.as_mut().expect("works");
-        let (reply, out) = group.handle(from, message.clone(), now);
+        self.overwrite_with_older_state(to, &message);
+        let group = self.machines[to].group.as_mut().expect("is running");
+        let (reply, outgoing) = group.handle(from, message.clone(), now);
         if self.machines[to].disk.is_dark() {
-            return self.send_if_lit(to, Vec::new());
+            return self.send_if_powered(to, Vec::new());
         }
-        self.send(to, out);
+        self.send(to, outgoing);
         let Some(back) = self.index(from) else { return };
-        if let Some(delay) = self.arrival(to, back) {
-            self.schedule(delay, Event::Return { to: back, message, sent, reply: Box::new(reply) });
+        if let Some(delay) = self.arrival_delay(to, back) {
+            self.schedule(delay, Event::DeliverReply { to: back, message, sent, reply: Box::new(reply) });
         }
     }
 
-    /// The planted mistake: a backup keeps any state of its epoch.
-    fn go_back_to_older_state(&mut self, to: usize, message: &Message) {
+    /// The planted bug: a backup stores any state of its epoch, also an older one.
+    fn overwrite_with_older_state(&mut self, to: usize, message: &Message) {
         let Message::Replicate(epoch, state) = message else { return };
-        let group = self.group(to).expect("works");
-        let held = group.durable().state.position;
-        let older = held.epoch == *epoch && state.position < held && group.durable().promised_epoch == *epoch;
-        if self.bug == Bug::KeepsOlderState && older {
+        let group = self.group(to).expect("is running");
+        let stored = group.durable().state.position;
+        let older =
+            stored.epoch == *epoch && state.position < stored && group.durable().promised_epoch == *epoch;
+        if self.bug == Bug::AcceptsOlderState && older {
             let durable = DurableState { state: state.clone(), ..group.durable().clone() };
             self.machines[to].disk.overwrite(&durable);
             self.start(to, false);
         }
     }
 
-    fn come_back(&mut self, to: usize, message: Message, sent: Ms, reply: Reply) {
+    fn deliver_reply(&mut self, to: usize, message: Message, sent: Ms, reply: Reply) {
         let now = self.now;
-        let message = match self.bug == Bug::AnswerToAnother && self.lot.random_bool(0.02) {
-            true => self.another_call(to).unwrap_or(message),
+        let message = match self.bug == Bug::MisroutedReply && self.rng.random_bool(0.02) {
+            true => self.other_request(to).unwrap_or(message),
             false => message,
         };
-        self.operators.answered(to, &message, sent, &reply);
+        self.operators.record_reply(to, &message, sent, &reply);
         if matches!(message, Message::Leave(_)) && !reply.accepted {
-            return self.go(to);
+            return self.stop_machine(to);
         }
-        let out = self.machines[to].group.as_mut().expect("works").handle_reply(&message, sent, reply, now);
-        self.send_if_lit(to, out);
+        let outgoing =
+            self.machines[to].group.as_mut().expect("is running").handle_reply(&message, sent, reply, now);
+        self.send_if_powered(to, outgoing);
     }
 
-    /// The planted mistake: a call whose answer is taken for that to another one.
-    fn another_call(&self, from: usize) -> Option<Message> {
+    /// The planted bug: another request from the same machine, to which a reply is attributed.
+    fn other_request(&self, from: usize) -> Option<Message> {
         let ip = self.machines[from].ip;
         let mut calls = self.events.values().filter_map(|event| match event {
-            Event::Arrive { from, message: message @ Message::Replicate(..), .. } if *from == ip => {
+            Event::DeliverMessage { from, message: message @ Message::Replicate(..), .. } if *from == ip => {
                 Some(message)
             }
             _ => None,
@@ -514,50 +533,51 @@
         calls.next_back().cloned()
     }
 
-    /// An epoch has one primary.
-    fn watch_leaders(&mut self) {
+    /// Checks that no epoch has two primaries.
+    fn check_leaders(&mut self) {
         for i in 0..self.machines.len() {
             let Some(group) = self.group(i) else { continue };
             let Some(view) = group.leads(self.now) else { continue };
             let (epoch, disk) = (view.epoch, group.durable().disk);
             if *self.leaders.entry(epoch).or_insert(disk) != disk {
-                self.seen.broken = Some(format!("two primaries in epoch {epoch}"));
+                self.outcome.violation = Some(format!("two primaries in epoch {epoch}"));
             }
         }
     }
 
-    fn go_on_leaving(&mut self, i: usize) {
+    fn continue_leaving(&mut self, i: usize) {
         let now = self.now;
         let Some(leaving) = &mut self.machines[i].leaving else { return };
-        if now >= leaving.until {
-            return self.go(i);
+        if now >= leaving.deadline {
+            return self.stop_machine(i);
         }
-        if now < leaving.asked + 100 {
+        if now < leaving.last_request + 100 {
             return;
         }
-        leaving.asked = now;
-        match self.group(i).expect("works").next_leave_step() {
-            LeaveStep::Ready => self.go(i),
+        leaving.last_request = now;
+        match self.group(i).expect("is running").next_leave_step() {
+            LeaveStep::Ready => self.stop_machine(i),
             LeaveStep::Wait => {}
             LeaveStep::Request(question) => self.send(i, vec![question]),
         }
     }
 
-    /// A machine that was told to stop has stopped.
-    fn go(&mut self, i: usize) {
+    /// Completes a planned stop.
+    fn stop_machine(&mut self, i: usize) {
         let Some(leaving) = self.machines[i].leaving.take() else { return };
         self.machines[i].group = None;
-        match leaving.span {
-            Some(span) => self.machines[i].down_until = self.now + span,
+        match leaving.downtime {
+            Some(downtime) => self.machines[i].down_until = self.now + downtime,
             None => self.machines[i].removed = true,
         }
-        self.troubles.left(i, self.now, leaving.span);
+        self.faults.record_stop(i, self.now, leaving.downtime);
     }
 
-    /// After the calm somebody leads, and has everything that was acknowledged; and what was refused is not in force.
-    fn check_end(&mut self) {
+    /// Checks that there is a primary after the period without faults, that it has every acknowledged change and no rejected
+    /// one, and that lost members were replaced.
+    fn check_final_state(&mut self) {
         let Some(leader) = self.leader() else {
-            let stands = |m: &Machine| match &m.group {
+            let describe = |m: &Machine| match &m.group {
                 Some(group) => {
                     format!(
                         "{}: {:?} {:?}\n",
@@ -568,17 +588,17 @@
                 }
                 None => format!("{}: removed {}\n", m.ip, m.removed),
             };
-            let all: String = self.machines.iter().map(stands).collect();
-            self.seen.broken = Some(format!("nobody leads after the calm\n{all}"));
+            let all: String = self.machines.iter().map(describe).collect();
+            self.outcome.violation = Some(format!("no primary after the recovery time\n{all}"));
             return;
         };
-        let group = self.group(leader).expect("leads");
-        let broken = self.operators.check(&group.durable().state);
-        let members = group.view().expect("leads").members.len();
-        self.seen.broken = broken;
-        let there = self.machines.iter().filter(|machine| !machine.removed).count();
-        if members < there.min(2 * self.tolerance + 1) {
-            self.seen.broken = Some("a member was lost and not replaced".to_string());
+        let group = self.group(leader).expect("is primary");
+        let violation = self.operators.check(&group.durable().state);
+        let members = group.view().expect("is primary").members.len();
+        self.outcome.violation = violation;
+        let present = self.machines.iter().filter(|machine| !machine.removed).count();
+        if members < present.min(2 * self.tolerance + 1) {
+            self.outcome.violation = Some("a lost member was not replaced".to_string());
         }
     }
 }
--- a/crates/control/tests/replication.rs
+++ b/crates/control/tests/replication.rs
@@ -1,4 +1,5 @@
-//! What a backup keeps, what a lease rests on, and what a member waits for before it goes.
+//! Single properties of the group: which state a backup keeps, when a reply renews a lease, and how long a leaving member
+//! waits.
 use control::{
     Command, DurableState, Group, GroupSettings, LeaveStep, Member, Message, Ms, Outgoing, Position,
     Rejected, State, Storage, View,
@@ -33,14 +34,14 @@
     State { position: Position { epoch, number }, version: number, ..State::default() }
 }
 
-/// A state that was sent again over a new connection arrives after a newer one that was acknowledged: the backup went
-/// back to it, and could lead with it next.
+/// Guards against a backup that returns to an older state: a state resent over a new connection may arrive after a newer
+/// one that was acknowledged, and the backup could become primary with the older one.
 #[rstest]
 #[case::older_of_the_same_epoch((64, 6), (64, 5), (64, 6))]
 #[case::newer_of_the_same_epoch((64, 6), (64, 7), (64, 7))]
 #[case::the_same_twice((64, 6), (64, 6), (64, 6))]
 #[case::a_new_epoch_without_a_change_that_was_not_acknowledged((64, 6), (128, 5), (128, 5))]
-fn a_backup_never_goes_back_to_an_older_state(
+fn a_backup_never_returns_to_an_older_state(
     #[case] first: (u64, u64),
     #[case] second: (u64, u64),
     #[case] kept: (u64, u64),
@@ -48,13 +49,13 @@
     let mut backup = machine(2, false);
     for (epoch, number) in [first, second] {
         let (reply, _) = backup.handle(ip(1), Message::Replicate(epoch, state(epoch, number)), 10);
-        assert!(reply.accepted, "what it holds includes what it was asked to hold");
+        assert!(reply.accepted, "the stored state includes the one in the message");
     }
     assert_eq!(backup.durable().state, state(kept.0, kept.1));
 }
 
 #[test]
-fn a_state_of_an_epoch_that_is_over_is_refused() {
+fn a_state_of_a_past_epoch_is_rejected() {
     let mut backup = machine(2, false);
     backup.handle(ip(1), Message::Replicate(128, state(128, 3)), 10);
     let (reply, _) = backup.handle(ip(3), Message::Replicate(64, state(64, 9)), 20);
@@ -62,40 +63,41 @@
     assert_eq!(backup.durable().state, state(128, 3));
 }
 
-/// Three machines in memory: messages arrive at once, but for those to machines that are cut off.
-struct Trio {
+/// Machines in memory. Messages arrive at once, except from and to isolated machines.
+struct Cluster {
     machines: Vec<Group<Memory>>,
     now: Ms,
-    cut: Vec<u8>,
+    isolated: Vec<u8>,
 }
 
-impl Trio {
-    fn new(count: u8) -> Trio {
+impl Cluster {
+    fn new(count: u8) -> Cluster {
         let machines = (1..=count).map(|i| machine(i, i <= 3)).collect();
-        Trio { machines, now: 1, cut: Vec::new() }
+        Cluster { machines, now: 1, isolated: Vec::new() }
     }
 
-    fn deliver(&mut self, from: u8, out: Vec<Outgoing>) {
-        let mut queue: Vec<(u8, Outgoing)> = out.into_iter().map(|out| (from, out)).collect();
+    fn deliver(&mut self, from: u8, outgoing: Vec<Outgoing>) {
+        let mut queue: Vec<(u8, Outgoing)> = outgoing.into_iter().map(|outgoing| (from, outgoing)).collect();
         while let Some((from, Outgoing { to, message })) = queue.pop() {
             let to = (1..=self.machines.len() as u8).find(|i| ip(*i) == to).unwrap();
-            if self.cut.contains(&from) || self.cut.contains(&to) {
+            if self.isolated.contains(&from) || self.isolated.contains(&to) {
                 continue;
             }
-            let (reply, out) = self.machines[to as usize - 1].handle(ip(from), message.clone(), self.now);
-            queue.extend(out.into_iter().map(|out| (to, out)));
-            let out = self.machines[from as usize - 1].handle_reply(&message, self.now, reply, self.now);
-            queue.extend(out.into_iter().map(|out| (from, out)));
+            let (reply, outgoing) =
+                self.machines[to as usize - 1].handle(ip(from), message.clone(), self.now);
+            queue.extend(outgoing.into_iter().map(|outgoing| (to, outgoing)));
+            let outgoing = self.machines[from as usize - 1].handle_reply(&message, self.now, reply, self.now);
+            queue.extend(outgoing.into_iter().map(|outgoing| (from, outgoing)));
         }
     }
 
-    fn pass(&mut self, span: Ms) {
+    fn advance_time(&mut self, span: Ms) {
         for _ in 0..span / 10 {
             self.now += 10;
             for i in 1..=self.machines.len() as u8 {
-                if !self.cut.contains(&i) {
-                    let out = self.machines[i as usize - 1].tick(self.now);
-                    self.deliver(i, out);
+                if !self.isolated.contains(&i) {
+                    let outgoing = self.machines[i as usize - 1].tick(self.now);
+                    self.deliver(i, outgoing);
                 }
             }
         }
@@ -105,21 +107,21 @@
         &mut self.machines[i as usize - 1]
     }
 
-    /// Sends an order to a machine; whether it is in force, or why it is refused.
-    fn order(&mut self, i: u8, base: u64, version: u64) -> Result<bool, Rejected> {
+    /// Sends a configuration change to a machine; returns whether it was committed, or why it was rejected.
+    fn change_configuration(&mut self, i: u8, base: u64, version: u64) -> Result<bool, Rejected> {
         let body = format!(r#"{{"Version":{version},"Routes":[],"Backends":[]}}"#).into_bytes();
         let now = self.now;
         let Some(proposed) = self.machine(i).try_propose(&Command::Configure { base, body }, now) else {
             return Ok(false);
         };
-        let (change, out) = proposed?;
-        self.deliver(i, out);
+        let (change, outgoing) = proposed?;
+        self.deliver(i, outgoing);
         Ok(self.machine(i).is_committed(change, now) == Some(true))
     }
 
     fn leader(&self) -> u8 {
         let leads = |i: &u8| self.machines[*i as usize - 1].leads(self.now).is_some();
-        (1..=self.machines.len() as u8).find(leads).expect("nobody leads")
+        (1..=self.machines.len() as u8).find(leads).expect("no primary")
     }
 
     fn view(&self) -> View {
@@ -127,107 +129,111 @@
     }
 }
 
-/// A primary that was frozen finds answers in its sockets when it wakes: they tell of the time before. The planted
-/// mistake, a lease that counts from when they are read, makes it lead again, and refuse what the others have taken.
+/// A primary that was frozen reads replies from before the freeze when it wakes up. The planted bug counts the lease from
+/// the time at which they are read: the old primary would lead again and reject what the others have accepted.
 #[rstest]
-#[case::from_when_the_question_was_sent(false)]
-#[case::planted_from_when_the_answer_is_read(true)]
-fn an_answer_renews_the_lease_from_when_its_question_was_sent(#[case] planted: bool) {
-    let mut trio = Trio::new(3);
-    trio.pass(1_000);
-    let old = trio.leader();
-    let asked = trio.now;
-    let (_, questions) = trio.machine(old).confirm_leadership(asked).unwrap();
-    let mut unread = Vec::new();
-    for Outgoing { to, message } in questions {
+#[case::lease_from_the_request(false)]
+#[case::planted_lease_from_the_reading_of_the_reply(true)]
+fn a_reply_renews_the_lease_from_the_time_its_request_was_sent(#[case] planted: bool) {
+    let mut cluster = Cluster::new(3);
+    cluster.advance_time(1_000);
+    let old_primary = cluster.leader();
+    let sent_at = cluster.now;
+    let (_, requests) = cluster.machine(old_primary).confirm_leadership(sent_at).unwrap();
+    let mut unread_replies = Vec::new();
+    for Outgoing { to, message } in requests {
         let to = (1..=3).find(|i| ip(*i) == to).unwrap();
-        let (reply, _) = trio.machine(to).handle(ip(old), message.clone(), asked);
-        unread.push((message, reply));
+        let (reply, _) = cluster.machine(to).handle(ip(old_primary), message.clone(), sent_at);
+        unread_replies.push((message, reply));
     }
-    trio.cut.push(old);
-    trio.pass(4_000);
-    let new = trio.leader();
-    assert_ne!(new, old);
-    assert!(trio.order(new, 0, 1).is_ok_and(|done| done), "the new primary takes an order");
-    let woken = trio.now;
-    for (message, reply) in unread {
-        let sent = if planted { woken } else { asked };
-        trio.machine(old).handle_reply(&message, sent, reply, woken);
+    cluster.isolated.push(old_primary);
+    cluster.advance_time(4_000);
+    let new_primary = cluster.leader();
+    assert_ne!(new_primary, old_primary);
+    assert!(
+        cluster.change_configuration(new_primary, 0, 1).is_ok_and(|done| done),
+        "the new primary accepts a change"
+    );
+    let woken_at = cluster.now;
+    for (message, reply) in unread_replies {
+        let sent = if planted { woken_at } else { sent_at };
+        cluster.machine(old_primary).handle_reply(&message, sent, reply, woken_at);
     }
-    let leads = trio.machine(old).leads(woken).is_some();
+    let leads = cluster.machine(old_primary).leads(woken_at).is_some();
     assert_eq!(leads, planted);
-    // What it would say of an order on the version that the others have: by the mistake, and unconfirmed, a refusal.
-    let refused = trio.order(old, 1, 2) == Err(Rejected::Stale { current: 0 });
-    assert_eq!(refused, planted, "a refusal must be confirmed by a majority, which it doesn't reach");
-    // Even then a majority's word is missing: nobody answers what it asks now.
-    let confirmation = trio.machine(old).confirm_leadership(woken).map(|(confirmation, _)| confirmation);
+    // With the bug, the old primary would reject a change to the new version unless it asked for confirmation.
+    let rejected = cluster.change_configuration(old_primary, 1, 2) == Err(Rejected::Stale { current: 0 });
+    assert_eq!(rejected, planted, "a rejection must be confirmed by a majority, which is out of reach");
+    // Even then the confirmation of a majority is missing: nobody answers its new requests.
+    let confirmation =
+        cluster.machine(old_primary).confirm_leadership(woken_at).map(|(confirmation, _)| confirmation);
     assert!(confirmation.is_none_or(|confirmation| !confirmation.has_majority()));
 }
 
-/// A planned replacement: the newcomer has the place, and another the copy, before the old member goes.
+/// In a planned replacement the newcomer is a member, and another machine holds the state, before the old member stops.
 #[rstest]
-fn a_member_that_stops_waits_until_a_newcomer_has_its_place(#[values(1, 2, 3)] which: u8) {
-    let mut group = Trio::new(4);
-    group.pass(1_500);
-    assert_eq!(group.view().members.len(), 3);
+fn a_leaving_member_waits_until_a_newcomer_has_replaced_it(#[values(1, 2, 3)] leaving: u8) {
+    let mut cluster = Cluster::new(4);
+    cluster.advance_time(1_500);
+    assert_eq!(cluster.view().members.len(), 3);
     let mut waited = 0;
     loop {
-        let mut waits = false;
-        match group.machines[which as usize - 1].next_leave_step() {
+        let mut must_wait = false;
+        match cluster.machines[leaving as usize - 1].next_leave_step() {
             LeaveStep::Ready => {}
-            LeaveStep::Wait => waits = true,
-            LeaveStep::Request(question) => {
-                let is_leave = matches!(question.message, Message::Leave(_));
-                let to = (1..=4).find(|i| ip(*i) == question.to).unwrap();
-                let (reply, out) =
-                    group.machines[to as usize - 1].handle(ip(which), question.message, group.now);
-                waits |= reply.accepted || !is_leave;
-                group.deliver(to, out);
+            LeaveStep::Wait => must_wait = true,
+            LeaveStep::Request(request) => {
+                let is_leave = matches!(request.message, Message::Leave(_));
+                let to = (1..=4).find(|i| ip(*i) == request.to).unwrap();
+                let (reply, outgoing) =
+                    cluster.machines[to as usize - 1].handle(ip(leaving), request.message, cluster.now);
+                must_wait |= reply.accepted || !is_leave;
+                cluster.deliver(to, outgoing);
             }
         }
-        if !waits {
+        if !must_wait {
             break;
         }
-        group.pass(100);
+        cluster.advance_time(100);
         waited += 100;
-        assert!(waited < 2_000, "it waits for ever");
+        assert!(waited < 2_000, "the member waits too long");
     }
-    group.cut.push(which);
-    group.pass(50);
-    let view = group.view();
-    assert!(!view.is_member(u64::from(which)) && view.is_member(4), "{view:?}");
-    assert!(!view.holds_state(u64::from(which)));
-    // The next loss may come at once: any one of those that are left.
-    let lost = *[1, 2, 3, 4].iter().find(|i| **i != which).unwrap();
-    group.cut.push(lost);
-    group.pass(4_000);
-    assert!(group.view().members.len() >= 3);
+    cluster.isolated.push(leaving);
+    cluster.advance_time(50);
+    let view = cluster.view();
+    assert!(!view.is_member(u64::from(leaving)) && view.is_member(4), "{view:?}");
+    assert!(!view.holds_state(u64::from(leaving)));
+    // Any one of the remaining machines may be lost at once.
+    let lost = *[1, 2, 3, 4].iter().find(|i| **i != leaving).unwrap();
+    cluster.isolated.push(lost);
+    cluster.advance_time(4_000);
+    assert!(cluster.view().members.len() >= 3);
 }
 
-/// Where nobody can take its place, a member that stops is away for a short time: it only sees that others hold the
-/// state.
+/// Without a machine to replace it, a stopping member stays a member during its short absence. It only waits until others
+/// hold the state.
 #[test]
-fn a_member_that_stops_without_a_newcomer_leaves_its_copy_to_another() {
-    let mut group = Trio::new(3);
-    group.pass(1_500);
-    let backup = group.view().backups[0];
+fn a_leaving_backup_without_a_newcomer_waits_until_another_holds_the_state() {
+    let mut cluster = Cluster::new(3);
+    cluster.advance_time(1_500);
+    let backup = cluster.view().backups[0];
     for _ in 0..20 {
-        if let LeaveStep::Request(question) = group.machines[backup as usize - 1].next_leave_step() {
-            group.deliver(backup as u8, vec![question]);
+        if let LeaveStep::Request(request) = cluster.machines[backup as usize - 1].next_leave_step() {
+            cluster.deliver(backup as u8, vec![request]);
         }
-        group.pass(100);
+        cluster.advance_time(100);
     }
-    assert!(!group.view().holds_state(backup), "{:?}", group.view());
-    assert!(group.view().is_member(backup), "it stays a member");
+    assert!(!cluster.view().holds_state(backup), "{:?}", cluster.view());
+    assert!(cluster.view().is_member(backup), "it stays a member");
 }
 
-/// A message that was meant for a member whose place, at the same address, another disk has now.
+/// A message reaches a different disk than intended, because the member's disk was replaced at the same address.
 #[test]
-fn an_answer_counts_for_the_disk_that_gave_it() {
-    let mut group = Trio::new(3);
-    group.pass(1_500);
-    let leader = group.leader();
-    let before = group.view();
+fn a_reply_counts_only_for_the_disk_that_sent_it() {
+    let mut cluster = Cluster::new(3);
+    cluster.advance_time(1_500);
+    let leader = cluster.leader();
+    let before = cluster.view();
     let wiped = *before.backups.first().unwrap() as u8;
     let settings = GroupSettings {
         me: Member { disk: 77, ..member(wiped) },
@@ -236,39 +242,39 @@
         tolerance: Tolerance::of_machines(1),
     };
     let durable = DurableState { disk: 77, ..DurableState::default() };
-    let mut stranger = Group::new(settings, durable, Memory, group.now);
+    let mut stranger = Group::new(settings, durable, Memory, cluster.now);
     let message = Message::Replicate(before.epoch, state(before.epoch, 50));
-    let (reply, _) = stranger.handle(ip(leader), message.clone(), group.now);
-    let committed_change_number = group.machines[leader as usize - 1].committed_change_number();
-    let now = group.now;
-    group.machines[leader as usize - 1].handle_reply(&message, now, reply, now);
-    assert_eq!(group.machines[leader as usize - 1].committed_change_number(), committed_change_number);
+    let (reply, _) = stranger.handle(ip(leader), message.clone(), cluster.now);
+    let committed_change_number = cluster.machines[leader as usize - 1].committed_change_number();
+    let now = cluster.now;
+    cluster.machines[leader as usize - 1].handle_reply(&message, now, reply, now);
+    assert_eq!(cluster.machines[leader as usize - 1].committed_change_number(), committed_change_number);
 }
 
-/// There is no log: a member that missed hundreds of changes gets one state, when it is to hold it again.
+/// There is no log: a machine that missed hundreds of changes gets the complete state once it is a backup again.
 #[test]
-fn a_member_that_missed_changes_has_them_all_with_one_message() {
-    let mut trio = Trio::new(3);
-    trio.pass(1_500);
-    let (leader, away) = (trio.leader(), trio.view().backups[0] as u8);
-    trio.cut.push(away);
-    trio.pass(2_500);
-    assert_eq!(trio.leader(), leader);
+fn a_backup_that_missed_changes_catches_up_with_one_message() {
+    let mut cluster = Cluster::new(3);
+    cluster.advance_time(1_500);
+    let (leader, isolated_backup) = (cluster.leader(), cluster.view().backups[0] as u8);
+    cluster.isolated.push(isolated_backup);
+    cluster.advance_time(2_500);
+    assert_eq!(cluster.leader(), leader);
     for base in 0..500 {
-        assert_eq!(trio.order(leader, base, base + 1), Ok(true));
+        assert_eq!(cluster.change_configuration(leader, base, base + 1), Ok(true));
     }
-    trio.cut.clear();
-    let other = (1..=3).find(|i| *i != leader && *i != away).unwrap();
-    trio.cut.push(other);
-    let begun = trio.now;
-    while trio.machine(away).durable().state.version != 500 {
-        trio.pass(10);
-        assert!(trio.now < begun + 4_500, "it never catches up");
+    cluster.isolated.clear();
+    let other = (1..=3).find(|i| *i != leader && *i != isolated_backup).unwrap();
+    cluster.isolated.push(other);
+    let started_at = cluster.now;
+    while cluster.machine(isolated_backup).durable().state.version != 500 {
+        cluster.advance_time(10);
+        assert!(cluster.now < started_at + 4_500, "the backup never catches up");
     }
-    let bytes = borsh::to_vec(&trio.machine(away).durable().state).unwrap().len();
+    let bytes = borsh::to_vec(&cluster.machine(isolated_backup).durable().state).unwrap().len();
     println!(
         "500 changes: caught up {} ms after the other backup was lost, with {bytes} bytes",
-        trio.now - begun
+        cluster.now - started_at
     );
     assert!(bytes < 100_000);
 }
