--- a/crates/control/src/group/election.rs
+++ b/crates/control/src/group/election.rs
@@ -8,12 +8,12 @@
     pub(super) fn abort_attempt(&mut self, now: Ms) -> Vec<Outgoing> {
         self.role = Role::Follower;
         // The next attempt comes soon; the rank keeps it apart from those of other members.
-        self.election_timer_start = (now + RETRY_DELAY).saturating_sub(self.base_timeout());
+        self.election_timer_start = (now + RETRY_DELAY).saturating_sub(self.base_election_timeout());
         Vec::new()
     }
 
     /// The time without a primary after which the machine of rank 0 starts an election.
-    pub(super) fn base_timeout(&self) -> Ms {
+    pub(super) fn base_election_timeout(&self) -> Ms {
         match self.last_heartbeat {
             None => STARTUP_PRIMARY_TIMEOUT,
             Some(_) => PRIMARY_TIMEOUT,
@@ -33,7 +33,7 @@
         let timeout_per_rank =
             if self.last_heartbeat.is_none() { STARTUP_TIMEOUT_PER_RANK } else { TIMEOUT_PER_RANK };
         let timeout =
-            self.base_timeout() + timeout_per_rank * self.rank() + if holds_state { 0 } else { 400 };
+            self.base_election_timeout() + timeout_per_rank * self.rank() + if holds_state { 0 } else { 400 };
         if now < self.election_timer_start + timeout || now < self.election_holdoff_until {
             return Vec::new();
         }
--- a/crates/control/src/group/lease.rs
+++ b/crates/control/src/group/lease.rs
@@ -88,8 +88,8 @@
         others.filter(move |m| primary.answered_recently(m.disk, now) && !self.is_leaving(m.disk, now))
     }
 
-    /// Asks the members to confirm that this machine is still primary, before it answers a request that only a primary may
-    /// answer. Nothing is returned if it doesn't hold the lease.
+    /// Asks the members to confirm that this machine is still primary, before it answers a request that only
+    /// a primary may answer. Returns `None` if it doesn't hold the lease.
     pub fn confirm_leadership(&self, now: Ms) -> Option<(LeadershipConfirmation, Vec<Outgoing>)> {
         let view = self.leads(now)?.clone();
         let me = self.settings.me.disk;
--- a/crates/control/src/group/membership.rs
+++ b/crates/control/src/group/membership.rs
@@ -41,8 +41,9 @@
         self.leaving.get(&disk).is_some_and(|at| now < at + LEAVE_VALIDITY)
     }
 
-    /// Handles a leave request. True as long as the member should wait: until another machine has replaced it or, where none
-    /// can, at least holds the state in its stead. A machine that isn't primary doesn't know, and always answers true.
+    /// Handles a leave request. Returns true as long as the member should wait: until another machine has
+    /// replaced it or, if none can, at least holds the state instead. A machine that isn't primary can't
+    /// tell, and always returns true.
     pub(super) fn handle_leave(&mut self, disk: u64, now: Ms) -> bool {
         self.leaving.insert(disk, now);
         self.leaving.retain(|_, at| now < *at + LEAVE_VALIDITY);
--- a/crates/control/src/group/replication.rs
+++ b/crates/control/src/group/replication.rs
@@ -2,8 +2,9 @@
 use super::*;
 
 impl<S: Storage> Group<S> {
-    /// Executes a command as primary. Nothing is returned unless this machine leads and all earlier changes are committed;
-    /// the caller may try again. Returns the change, whose progress [`Group::is_committed`] shows, and the messages to send.
+    /// Executes a command as primary. Returns `None`, and the caller may try again, unless this machine leads
+    /// and all earlier changes are committed. Otherwise returns the change, whose progress
+    /// [`Group::is_committed`] shows, and the messages to send.
     pub fn try_propose(
         &mut self,
         command: &Command,
@@ -31,8 +32,9 @@
         ChangeId { number: self.last_change_number(), state_generation: self.state_generation }
     }
 
-    /// Whether a change is committed; nothing while that is still open. False means unknown: the state was replaced by that
-    /// of another primary, or another machine leads, so the outcome can't be seen here any more.
+    /// Whether a change is committed; `None` while that is undecided. `Some(false)` means that the outcome
+    /// can't be learned from this machine any more: its state was replaced by that of another primary, or
+    /// another machine leads.
     pub fn is_committed(&self, change: ChangeId, now: Ms) -> Option<bool> {
         if change.state_generation != self.state_generation || self.another_machine_leads() {
             return Some(false);
--- a/crates/control/src/group/spread.rs
+++ b/crates/control/src/group/spread.rs
@@ -7,7 +7,8 @@
 use settings::tolerance::{region, zone};
 
 impl<S: Storage> Group<S> {
-    /// Why the members can't survive everything that may be lost at once, by the accepted view; none if they can.
+    /// Why the members can't survive everything that may be lost at once, by the accepted view; `None` if
+    /// they can.
     pub fn unmet_tolerance(&self) -> Option<String> {
         let view = self.view()?;
         let locations: Vec<&Location> = view.members.iter().map(|member| &member.location).collect();
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -55,8 +55,9 @@
     StoreLost { disk: u64, unreachable: BTreeSet<u64> },
     /// The first stores are known: assign the partitions to them.
     AssignPartitions,
-    /// Empty the store with this name. The remaining stores have to outnumber the machines that may be lost at once, and may
-    /// be no worse spread over zones and regions than before.
+    /// Empty the store with this name. More stores have to remain than machines may be lost at once. If the
+    /// tolerance covers zones or regions, the remaining stores must not be spread over them less well than
+    /// before.
     Retire { name: String, tolerance: Tolerance },
     /// Everything that a retiring store had is elsewhere.
     Retired(u64),
@@ -122,8 +123,8 @@
     /// The events that a command yields; none if the state is already as requested.
     pub fn decide(&self, command: &Command) -> Result<Vec<Event>, Rejected> {
         match command {
-            Command::Configure { base, body } => self.configure(*base, body),
-            Command::StoresSeen(stores) => Ok(self.stores_seen(stores)),
+            Command::Configure { base, body } => self.decide_configure(*base, body),
+            Command::StoresSeen(stores) => Ok(self.decide_stores_seen(stores)),
             Command::StoreLost { disk, unreachable } => match self.stores.get(*disk) {
                 Some(store) if !store.declared_lost => {
                     let successor = self.stores.choose_successor(*disk, unreachable);
@@ -133,7 +134,7 @@
             },
             Command::AssignPartitions if self.stores.owners.is_empty() => Ok(vec![Event::PartitionsAssigned]),
             Command::AssignPartitions => Ok(Vec::new()),
-            Command::Retire { name, tolerance } => self.retire(name, *tolerance),
+            Command::Retire { name, tolerance } => self.decide_retire(name, *tolerance),
             Command::Retired(disk) => match self.stores.get(*disk) {
                 Some(store) if store.retiring && !store.emptied => Ok(vec![Event::Retired(*disk)]),
                 _ => Ok(Vec::new()),
@@ -145,7 +146,7 @@
         }
     }
 
-    fn retire(&self, name: &str, tolerance: Tolerance) -> Result<Vec<Event>, Rejected> {
+    fn decide_retire(&self, name: &str, tolerance: Tolerance) -> Result<Vec<Event>, Rejected> {
         let Some(store) = self.stores.active().find(|store| store.name == name) else {
             return match self.stores.last_retiring_named(name) {
                 Some(_) => Ok(Vec::new()),
@@ -159,7 +160,7 @@
         let locations: Vec<&Location> = remaining.clone().map(|store| &store.location).collect();
         let others: Vec<&Location> =
             remaining.filter(|other| other.disk != store.disk).map(|other| &other.location).collect();
-        // Stores that don't satisfy the tolerance now must not fall shorter of it without this one.
+        // If the stores don't satisfy the tolerance now, removing this one must not increase what they lack.
         let keeps_spread = tolerance.missing_spread(&others) <= tolerance.missing_spread(&locations);
         match others.len() > tolerance.copies() && (keeps_spread || !tolerance.needs_spread()) {
             true => Ok(vec![Event::Retiring(store.disk)]),
@@ -167,7 +168,7 @@
         }
     }
 
-    fn configure(&self, base: u64, body: &[u8]) -> Result<Vec<Event>, Rejected> {
+    fn decide_configure(&self, base: u64, body: &[u8]) -> Result<Vec<Event>, Rejected> {
         let digest = xxhash_rust::xxh3::xxh3_128(body);
         if self.applied.iter().any(|applied| applied.base == base && applied.digest == digest) {
             return Ok(Vec::new());
@@ -191,32 +192,33 @@
     }
 
     /// The events for several reported stores; each is compared with the view that includes the ones before it.
-    fn stores_seen(&self, stores: &[Store]) -> Vec<Event> {
+    fn decide_stores_seen(&self, stores: &[Store]) -> Vec<Event> {
         let mut after = State { stores: self.stores.clone(), ..State::default() };
         let mut all_events = Vec::new();
         for store in stores {
-            let events = after.store_seen(store);
+            let events = after.decide_store_seen(store);
             events.iter().for_each(|event| after.apply(event));
             all_events.extend(events);
         }
         all_events
     }
 
-    fn store_seen(&self, store: &Store) -> Vec<Event> {
+    fn decide_store_seen(&self, store: &Store) -> Vec<Event> {
         match self.stores.get(store.disk) {
             Some(known) if known.declared_lost || known.has_same_details(store) => Vec::new(),
             Some(_) => vec![Event::StoreUpserted(store.clone())],
             None => {
                 // A different disk on the same machine: the previous one is lost.
                 let previous = self.stores.active().find(|s| s.name == store.name || s.ip == store.ip);
-                let lost = previous.map(|previous| self.replaced_by(previous.disk, store));
+                let lost = previous.map(|previous| self.loss_by_replacement(previous.disk, store));
                 [Event::StoreUpserted(store.clone())].into_iter().chain(lost).collect()
             }
         }
     }
 
-    /// Declares a disk lost because another one has appeared on its machine. The replacement may become its successor.
-    fn replaced_by(&self, disk: u64, replacement: &Store) -> Event {
+    /// The event that declares a disk lost because another one has appeared on its machine. The replacement
+    /// may become its successor.
+    fn loss_by_replacement(&self, disk: u64, replacement: &Store) -> Event {
         let mut stores = self.stores.clone();
         stores.upsert(replacement.clone());
         Event::StoreLost { disk, successor: stores.choose_successor(disk, &BTreeSet::new()) }
--- a/crates/control/src/stores.rs
+++ b/crates/control/src/stores.rs
@@ -159,8 +159,9 @@
         }
     }
 
-    /// The store that should take over if this disk is declared lost. Preferred is, in this order: a store that is reachable
-    /// and not about to stop, the one that owns the fewest partitions, one with the same name, the nearest one.
+    /// The store that should take over if this disk is declared lost. Candidates are compared by these
+    /// criteria, in this order: reachable and not about to stop, fewest owned partitions, same name as the
+    /// lost store, smallest distance.
     pub fn choose_successor(&self, disk: u64, unreachable: &BTreeSet<u64>) -> Option<u64> {
         let lost = self.get(disk)?;
         let owned_partitions =
--- a/crates/control/tests/exhaustive.rs
+++ b/crates/control/tests/exhaustive.rs
@@ -12,7 +12,7 @@
 
 const MACHINES: usize = 3;
 /// One step of time: longer than a member waits for a primary.
-const STEP: Ms = 900;
+const TIME_STEP: Ms = 900;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Memory;
@@ -44,7 +44,7 @@
 /// How many actions of each kind may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Bounds {
-    steps: u8,
+    time_steps: u8,
     restarts: u8,
     disk_losses: u8,
     proposals: u8,
@@ -212,7 +212,7 @@
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         actions.extend(world.in_flight.keys().cloned().map(Action::Deliver));
-        if world.remaining.steps > 0 {
+        if world.remaining.time_steps > 0 {
             actions.push(Action::AdvanceTime);
         }
         for i in 0..MACHINES {
@@ -236,8 +236,8 @@
                 world.deliver(packet);
             }
             Action::AdvanceTime => {
-                world.remaining.steps -= 1;
-                world.advance_time(STEP);
+                world.remaining.time_steps -= 1;
+                world.advance_time(TIME_STEP);
             }
             Action::Restart(i) => {
                 world.remaining.restarts -= 1;
@@ -268,16 +268,16 @@
 const MAX_STATES: usize = 600_000;
 
 #[rstest]
-#[case::one_step(Bounds { steps: 1, restarts: 0, disk_losses: 0, proposals: 1 })]
-#[case::elections(Bounds { steps: 3, restarts: 0, disk_losses: 0, proposals: 1 })]
-#[case::a_restart(Bounds { steps: 2, restarts: 1, disk_losses: 0, proposals: 1 })]
-#[case::a_lost_disk(Bounds { steps: 2, restarts: 0, disk_losses: 1, proposals: 1 })]
-#[case::two_proposals(Bounds { steps: 2, restarts: 0, disk_losses: 0, proposals: 2 })]
+#[case::one_step(Bounds { time_steps: 1, restarts: 0, disk_losses: 0, proposals: 1 })]
+#[case::elections(Bounds { time_steps: 3, restarts: 0, disk_losses: 0, proposals: 1 })]
+#[case::a_restart(Bounds { time_steps: 2, restarts: 1, disk_losses: 0, proposals: 1 })]
+#[case::a_lost_disk(Bounds { time_steps: 2, restarts: 0, disk_losses: 1, proposals: 1 })]
+#[case::two_proposals(Bounds { time_steps: 2, restarts: 0, disk_losses: 0, proposals: 2 })]
 fn no_interleaving_violates_an_invariant(#[case] bounds: Bounds) {
     let checker = Exhaustive(bounds).checker().threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
     let all = if checker.state_count() < MAX_STATES { "all" } else { "not all" };
-    println!("{bounds:?}: {states} states ({all} within the bounds), {depth} steps deep");
+    println!("{bounds:?}: {states} states ({all} within the bounds), {depth} actions deep");
     checker.assert_properties();
-    assert!(states > 1_000, "too few to tell");
+    assert!(states > 1_000, "too few states to be conclusive");
 }
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -145,12 +145,12 @@
 fn losses_not_survived(domain: FailureDomain, layout: &[usize], machines: usize, bug: Bug) -> Vec<String> {
     let domains = layout.iter().max().expect("machines") + 1;
     let losses = (0..6).flat_map(|seed| (0..domains).map(move |lost| (seed, lost)));
-    let runs = losses.flat_map(|(seed, lost)| [None, Some(6_000)].map(|away| (seed, lost, away)));
-    let violations = runs.filter_map(|(seed, lost, away)| {
+    let runs = losses.flat_map(|(seed, lost)| [None, Some(6_000)].map(|downtime| (seed, lost, downtime)));
+    let violations = runs.filter_map(|(seed, lost, downtime)| {
         let network =
             Network::with_locations(seed, domain.locations(layout), domain.tolerance(machines), bug);
-        let result = network.survives_loss(|location| domain.contains(location, lost), away);
-        result.err().map(|violation| format!("seed {seed}, {lost} lost, {away:?}: {violation}"))
+        let result = network.survives_loss(|location| domain.contains(location, lost), downtime);
+        result.err().map(|violation| format!("seed {seed}, {lost} lost, {downtime:?}: {violation}"))
     });
     violations.collect()
 }
@@ -214,11 +214,12 @@
     }
 }
 
-/// Two planted bugs are tested in `tests/replication.rs` instead, because random schedules of 600 seeds don't reach their
-/// short windows: a lease counted from the time at which a reply is read, and a rejection without confirmation.
 const ALL_REGIMES: &[Regime] =
     &[Regime::Tolerated, Regime::BeyondTolerated, Regime::Rapid, Regime::IsolatedPrimary];
 
+/// Two planted bugs are tested in `tests/replication.rs` instead, because random schedules of 600 seeds don't
+/// reach their short windows: a lease counted from the time at which a reply is read, and a rejection without
+/// confirmation.
 #[rstest]
 #[case(Bug::EarlyAcknowledgement, ALL_REGIMES)]
 #[case(Bug::ReusesIdentity, ALL_REGIMES)]
--- a/crates/control/tests/network/disk.rs
+++ b/crates/control/tests/network/disk.rs
@@ -4,7 +4,7 @@
 use ringlog::Shape;
 pub use simulation::disk::Memory;
 
-const SHAPE: Shape = Shape { segments: 4, segment_bytes: 512 * 1024 };
+const RING_SHAPE: Shape = Shape { segments: 4, segment_bytes: 512 * 1024 };
 
 /// The disk of a control machine.
 pub trait ControlDisk {
@@ -20,7 +20,7 @@
 
 impl ControlDisk for Memory {
     fn empty() -> Memory {
-        Memory::new(SHAPE.segments)
+        Memory::new(RING_SHAPE.segments)
     }
 
     fn state(&self) -> DurableState {
@@ -35,7 +35,7 @@
     fn open(&self) -> (DurableState, MemoryStorage) {
         let (durable, disk) = DiskStorage::open(
             self.clone(),
-            SHAPE,
+            RING_SHAPE,
             Box::new(|error| panic!("the state can't be written: {error}")),
         )
         .unwrap();
--- a/crates/control/tests/network/faults.rs
+++ b/crates/control/tests/network/faults.rs
@@ -68,11 +68,11 @@
         self.last_fault_end = self.last_fault_end.max(now + duration.unwrap_or(0));
     }
 
-    fn lost(&self, now: Ms) -> usize {
+    fn lost_count(&self, now: Ms) -> usize {
         self.lost_until.values().filter(|until| **until > now).count()
     }
 
-    fn record(&mut self, machines: &[usize], until: Ms) {
+    fn record_loss(&mut self, machines: &[usize], until: Ms) {
         for i in machines {
             let lost = self.lost_until.entry(*i).or_default();
             *lost = (*lost).max(until + CATCH_UP_TIME);
@@ -127,14 +127,14 @@
     fn inject_tolerated(&mut self) {
         let duration = self.duration();
         let leaving = self.machines.iter().any(|machine| machine.leaving.is_some());
-        let room = self.tolerance.saturating_sub(self.faults.lost(self.now));
+        let room = self.tolerance.saturating_sub(self.faults.lost_count(self.now));
         if room == 0 || leaving {
             return;
         }
         let all_at_once = room == self.tolerance && self.now >= self.faults.last_fault_end + CATCH_UP_TIME;
         if all_at_once && self.rng.random_bool(0.15) {
             let all: Vec<usize> = self.present();
-            self.faults.record(&all, self.now + duration);
+            self.faults.record_loss(&all, self.now + duration);
             let with_power_loss = self.rng.random_bool(0.5);
             return all.into_iter().for_each(|i| {
                 if with_power_loss {
@@ -147,7 +147,7 @@
         for _ in 0..self.rng.random_range(1..=room) {
             let i = self.choose_machine();
             let already_lost = self.faults.lost_until.get(&i).is_some_and(|until| *until > self.now);
-            if !already_lost && self.faults.lost(self.now) < self.tolerance {
+            if !already_lost && self.faults.lost_count(self.now) < self.tolerance {
                 self.fault_machine(i, duration, true);
             }
         }
@@ -207,13 +207,14 @@
             3 | 5 => self.machines[i].frozen_until = self.now + duration,
             _ => self.isolate(i, duration),
         }
-        self.faults.record(&[i], until);
+        self.faults.record_loss(&[i], until);
     }
 
     /// Planned maintenance: a machine is restarted, or replaced by a new one that is started first. It doesn't count as a
     /// loss: a loss may follow as soon as the machine has stopped.
     fn plan_maintenance(&mut self) {
-        let calm = self.now >= self.faults.last_fault_end + CATCH_UP_TIME && self.faults.lost(self.now) == 0;
+        let calm =
+            self.now >= self.faults.last_fault_end + CATCH_UP_TIME && self.faults.lost_count(self.now) == 0;
         let leaving = self.machines.iter().any(|machine| machine.leaving.is_some());
         let present = self.present();
         let i = present[self.rng.random_range(0..present.len())];
--- a/crates/control/tests/network/mod.rs
+++ b/crates/control/tests/network/mod.rs
@@ -190,7 +190,7 @@
     pub fn survives_loss(
         mut self,
         is_lost: impl Fn(&Location) -> bool,
-        away: Option<Ms>,
+        downtime: Option<Ms>,
     ) -> Result<(), String> {
         self.run_without_faults(STARTUP_TIME + 3_000);
         let confirmed = self.operators.confirmed_count();
@@ -199,8 +199,8 @@
         }
         let lost: Vec<usize> = (0..self.machines.len()).filter(|i| is_lost(&self.locations[*i])).collect();
         for i in lost {
-            self.power_off(i, away.unwrap_or(0));
-            self.machines[i].removed = away.is_none();
+            self.power_off(i, downtime.unwrap_or(0));
+            self.machines[i].removed = downtime.is_none();
         }
         self.run_without_faults(self.now + FAILOVER_TIMEOUT);
         if self.leader().is_none() {
--- a/crates/control/tests/network/operators.rs
+++ b/crates/control/tests/network/operators.rs
@@ -7,7 +7,7 @@
 const CLIENT_TIMEOUT: Ms = 1_000;
 /// How long a machine waits until a change is committed, as the control role does.
 const COMMIT_TIMEOUT: Ms = 2_500;
-/// A configuration has to be in force everywhere after this time.
+/// A confirmed configuration has to be in force on every machine with a valid lease after this time.
 const MAX_STALENESS: Ms = 3_000;
 /// An operator gives up a change after this many attempts.
 const MAX_ATTEMPTS: u32 = 12;
@@ -163,7 +163,8 @@
 }
 
 impl Network {
-    /// Operators start calls, machines advance them, and the state that watchers would read is checked.
+    /// Starts and advances the calls of operators, and checks that no primary serves an outdated
+    /// configuration.
     pub(super) fn run_operators(&mut self) {
         if self.lockstep_interval.is_some() {
             return;
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Proposes a change. The outer `None` means that the call is given up, the inner one that it continues.
+    /// Proposes a change. Returns `None` if the call is given up, and `Some(None)` if it continues.
     fn propose(&mut self, call: &mut Call, request: usize) -> Option<Option<Answer>> {
         let now = self.now;
         let ChangeRequest { base, body, .. } = self.operators.requests[request].clone();
