--- a/crates/queue/src/duplicates.rs
+++ b/crates/queue/src/duplicates.rs
@@ -1,4 +1,4 @@
-//! Of several messages of one operation one stays: what a queue decides about those that it has and those that it is given.
+//! Resolves duplicates: of several messages of one operation, a queue keeps one.
 use crate::entry::MessageTransfer;
 use crate::message::{Envelope, TenantKey};
 use crate::owned::OwnedMessage;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 impl Queue {
-    /// The message that is owned here for an operation, live or ended.
+    /// The message, finished or not, that is owned here for an operation.
     pub fn message_of_operation(&self, operation: &TenantKey) -> Option<&OwnedMessage> {
         self.owned(self.operations().get(operation)?)
     }
@@ -17,8 +17,8 @@
         (owned.id() != envelope.id).then_some(owned)
     }
 
-    /// After all records were folded: leaves the messages that have not begun, of each operation all but the one that stays.
-    /// Tells their ids.
+    /// Completes recovery after all records were applied: of several messages of one operation, relinquishes
+    /// those that have not started and lack precedence. Returns their ids.
     pub fn relinquish_duplicates(&mut self) -> Vec<String> {
         self.index_operations();
         let superseded = |owned: &&OwnedMessage| {
@@ -31,18 +31,18 @@
     }
 }
 
-/// Messages that a store may come to own, parted by what it has of their operations.
+/// The outcome of [`resolve_duplicates`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Resolution {
-    /// To be owned.
+    /// Messages to take ownership of.
     pub to_adopt: Vec<MessageTransfer>,
-    /// Another message of their operation stays.
+    /// Ids of the given messages that another message of their operation supersedes.
     pub superseded: Vec<String>,
-    /// Own messages that go, since one of the given ones stays.
+    /// Ids of owned messages that one of the given messages supersedes.
     pub displaced: Vec<String>,
 }
 
-/// Decides for each operation which one of its messages stays.
+/// Decides for each operation which of its messages is kept, among the given ones and those owned here.
 pub fn resolve_duplicates(queue: &Queue, transfers: Vec<MessageTransfer>) -> Resolution {
     let mut resolution = Resolution::default();
     let mut best: BTreeMap<TenantKey, MessageTransfer> = BTreeMap::new();
@@ -72,7 +72,7 @@
 }
 
 impl Resolution {
-    /// The one of two messages of an operation that stays; the other is superseded.
+    /// Returns the message with precedence of two messages of an operation; the other one is superseded.
     fn prevailing(&mut self, one: MessageTransfer, other: MessageTransfer) -> MessageTransfer {
         if one.message.id() == other.message.id() {
             return one;
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -1,50 +1,53 @@
-//! The records of what happens to messages, and messages as one store gives them to another.
+//! Log records, and messages in transfer from one store to another.
 use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::Message;
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// A message that has not ended, as one store gives it to another.
+/// An unfinished message in transfer to another store.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct MessageTransfer {
+    /// The message with its body.
     pub message: Message,
-    /// Attempts that failed.
+    /// Number of failed delivery attempts.
     pub attempts: u32,
 }
 
-/// A message that has ended, as one store gives it to another: in one piece with its end.
+/// A finished message in transfer to another store, together with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct FinishedTransfer {
+    /// The message and its outcome.
     pub finished: FinishedMessage,
-    /// The call-back about its end was accepted, or nobody is owed one.
+    /// The callback was accepted, or none was requested.
     pub callback_done: bool,
 }
 
-/// One record of the log. Most are messages, so a box would only be one more allocation for each.
+/// A log record. Most records are messages, so boxing them would only cost an allocation for each.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Entry {
-    /// The identity of this disk: the first record.
+    /// The identity of this disk; the first record.
     Disk(u64),
-    /// A message that has not ended, and is owned by the store with this disk.
+    /// An unfinished message that the store with this disk owns.
     Message { owner: u64, message: Message },
-    /// An attempt failed: how many have by now.
+    /// A delivery attempt failed; `attempts` is the total so far.
     AttemptFailed { id: String, attempts: u32 },
-    /// A message has ended that was told of before.
+    /// A message, recorded earlier, has finished.
     Finished(FinalRecord),
-    /// The call-back about its end was accepted.
+    /// The receiver accepted the callback about the outcome.
     CallbackDone { id: String },
-    /// Another store has it: this owner's message, or replica of it, isn't needed any more.
+    /// This owner's message, or its replica, is no longer needed because another store has it.
     Dropped { owner: u64, id: String },
-    /// The store with this disk was given up: nothing is kept for it any more.
+    /// The store with this disk was declared lost; nothing more is kept for it.
     Fenced { disk: u64 },
-    /// A message that has ended, with its end, and is owned by the store with this disk.
+    /// A finished message, with its outcome, that the store with this disk owns.
     FinishedMessage { owner: u64, transfer: FinishedTransfer },
-    /// All that the lost store with this disk owned is here, and others have dropped what they kept of it.
+    /// This store has taken over everything from the lost store with this disk, and the other stores have
+    /// dropped their replicas of it.
     TakenOver { disk: u64 },
 }
 
 impl Entry {
-    /// The message that it is about; none, if it is about a disk.
+    /// The id of the message that the record is about, unless it is about a disk.
     pub fn id(&self) -> Option<&str> {
         match self {
             Entry::Disk(_) | Entry::Fenced { .. } | Entry::TakenOver { .. } => None,
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Bytes of the body in it.
+    /// Size of the body in the record.
     pub fn body_bytes(&self) -> usize {
         match self {
             Entry::Message { message, .. } => message.body.len(),
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Whether it brings a message that its reader may not have had.
+    /// Whether the record contains a message that its receiver may not have.
     pub fn has_message(&self) -> bool {
         matches!(self, Entry::Message { .. } | Entry::FinishedMessage { .. })
     }
--- a/crates/queue/src/finished.rs
+++ b/crates/queue/src/finished.rs
@@ -1,28 +1,31 @@
-//! How messages end, and what is kept of one that has ended.
+//! Outcomes of messages, and what is kept of a finished message.
 use crate::message::{Envelope, Message};
 use crate::WallMs;
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::rc::Rc;
 
-/// How a message ended.
+/// The outcome of a message.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
-    /// An endpoint did it, and signed so.
+    /// An endpoint completed it and signed the result.
     Completed { signature: String },
-    /// It never will be done.
+    /// It will never be completed.
     DeadLetter,
 }
 
-/// The end of a message, for those who know the message already.
+/// The outcome of a message, for stores that already have the message.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct FinalRecord {
+    /// The id of the message.
     pub id: String,
+    /// How it finished.
     pub outcome: Outcome,
+    /// When it finished.
     pub at: WallMs,
 }
 
-/// A message that has ended, together with its end: of a completed one the envelope is kept, of a dead letter all, since
-/// its body can be asked for as long as its state.
+/// A finished message together with its outcome. Of a completed message only the envelope is kept; a dead
+/// letter keeps its body, which can be requested as long as its state.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum FinishedMessage {
     Completed { envelope: Rc<Envelope>, signature: String, at: WallMs },
@@ -30,7 +33,7 @@
 }
 
 impl FinishedMessage {
-    /// What is kept of a message once it has ended.
+    /// What is kept of a message with this outcome.
     pub fn new(message: Message, final_record: FinalRecord) -> FinishedMessage {
         match final_record.outcome {
             Outcome::Completed { signature } => {
@@ -40,6 +43,7 @@
         }
     }
 
+    /// The envelope, which is always kept.
     pub fn envelope(&self) -> &Rc<Envelope> {
         match self {
             FinishedMessage::Completed { envelope, .. } => envelope,
@@ -47,12 +51,12 @@
         }
     }
 
-    /// The request's id.
+    /// The id of the request.
     pub fn id(&self) -> &str {
         &self.envelope().id
     }
 
-    /// The whole message, if it is a dead letter.
+    /// The message with its body, if it is a dead letter.
     pub fn dead_letter(&self) -> Option<&Message> {
         match self {
             FinishedMessage::Completed { .. } => None,
@@ -60,18 +64,20 @@
         }
     }
 
-    /// It is owed itself, whoever was called back: its body can be asked for, or a repeat of its operation has to be known.
+    /// Whether the message has to be retained even with no callback pending: its body can be requested, or
+    /// repeats of its operation have to be recognized.
     pub fn must_be_retained(&self) -> bool {
         self.dead_letter().is_some() || self.envelope().has_operation_key()
     }
 
-    /// When it ended.
+    /// When it finished.
     pub fn at(&self) -> WallMs {
         match self {
             FinishedMessage::Completed { at, .. } | FinishedMessage::DeadLetter { at, .. } => *at,
         }
     }
 
+    /// How it finished.
     pub fn outcome(&self) -> Outcome {
         match self {
             FinishedMessage::Completed { signature, .. } => {
@@ -81,11 +87,12 @@
         }
     }
 
+    /// The outcome without the message.
     pub fn final_record(&self) -> FinalRecord {
         FinalRecord { id: self.id().to_string(), outcome: self.outcome(), at: self.at() }
     }
 
-    /// Bytes of the body that is kept.
+    /// Size of the body, if it is kept.
     pub fn body_bytes(&self) -> usize {
         self.dead_letter().map_or(0, |message| message.body.len())
     }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,25 +1,26 @@
-//! The durable queue of one store. No I/O and no clock: times are passed in.
+//! The durable queue of one store. It does no I/O and reads no clock: times are passed in.
 //!
-//! What happens to messages is a row of [`Entry`] records, which the store keeps on its disk and gives to the stores
-//! that hold replicas. [`Queue`] is the view folded from them: which messages are owned here, which are kept for other
-//! stores, which may run now, in which order, and which have ended.
+//! Everything that happens to messages is a sequence of [`Entry`] log records, which the store writes to its
+//! disk and sends to the stores that hold replicas. [`Queue`] is the state obtained by applying these
+//! records: which messages are owned here, which are held for other stores, which may run now and in which
+//! order, and which have finished.
 //!
-//! A [`Message`] always has its body; where the body isn't needed any more, only an [`Envelope`] is left. So nothing that
-//! delivers, shows or hands on a message can take one without its body for one whose body is empty.
+//! A [`Message`] always has its body; where the body is no longer needed, only an [`Envelope`] is kept. Code
+//! that delivers, shows or transfers a message can therefore not mistake a missing body for an empty one.
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
 //! | [`message`] | messages, their envelopes, and bodies with their digests |
-//! | [`ended`] | how messages end, and what is kept of one that has ended |
-//! | [`entry`] | the records |
-//! | [`operations`] | which message there is of each operation, and which of two stays |
-//! | [`owned`] | what is known of a message that this store owns |
-//! | [`replicas`] | messages and ends that are kept for other stores |
-//! | `ready`, `schedule` | what may run of a route, and in which order |
-//! | [`rivals`] | which of several messages of one operation stays |
-//! | [`view`] | the fold of all records; what is kept for other stores, as they ask for it |
-//! | [`placement`] | at which stores the copies of a message lie |
-//! | [`custody`] | what is decided about replicas at other stores, and about those kept for them |
+//! | [`finished`] | outcomes, and what is kept of a finished message |
+//! | [`entry`] | log records, and messages in transfer between stores |
+//! | [`operations`] | index of messages by operation, and the precedence among duplicates |
+//! | [`owned`] | the state of a message that this store owns |
+//! | [`replicas`] | messages and final records held for other stores |
+//! | `ready`, `schedule` | which messages of a route may run, and in which order |
+//! | [`duplicates`] | which of several messages of one operation is kept |
+//! | [`state`] | the queue itself: the state after all records, and access to what is held for other stores |
+//! | [`placement`] | which stores should hold the copies of a message |
+//! | [`replication`] | replicas of own messages at other stores, and replicas held for other stores |
 pub mod duplicates;
 pub mod entry;
 pub mod finished;
@@ -41,5 +42,5 @@
 pub use replicas::Replica;
 pub use state::{Counts, HeldIds, Queue};
 
-/// Milliseconds of the wall clock, since 1970.
+/// Wall clock time in milliseconds since the Unix epoch.
 pub type WallMs = u64;
--- a/crates/queue/src/message.rs
+++ b/crates/queue/src/message.rs
@@ -1,58 +1,63 @@
-//! Messages as clients handed them in: the envelope, and the body with a digest of it.
+//! Messages as received from clients: an envelope, and a body with its digest.
 use crate::WallMs;
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::rc::Rc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// All that is known of a message but its body.
+/// Everything about a message except its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Envelope {
-    /// The request's id; the message goes by it everywhere.
+    /// The id of the request, which identifies the message everywhere.
     pub id: String,
     pub host: String,
     pub method: String,
-    /// Path with query.
+    /// Path and query of the request.
     pub target: String,
     pub content_type: String,
-    /// The tenant whose key the request had; none where it needed no key.
+    /// The tenant that the API key of the request belongs to; `None` if no key was required.
     pub tenant: Option<String>,
-    /// Names the operation: all requests of a tenant with one such key are one message.
+    /// Identifies the operation: all requests of a tenant with the same key are one message.
     pub operation_key: Option<String>,
-    /// What it is about, as the client says.
+    /// The ordering key that the client chose.
     pub key: Option<String>,
-    /// It runs only once all of its tenant and key that were taken before it have ended.
+    /// It runs only after all earlier messages of its tenant and key have finished.
     pub ordered: bool,
-    /// Its place among the messages of its key: rises with each that an owner takes, and from owner to owner.
+    /// Position among the messages of its key. It increases with each message that an owner accepts, and from
+    /// one owner to the next.
     pub sequence: u64,
+    /// URL to notify of the outcome.
     pub callback: Option<String>,
     pub route: String,
-    /// The version of the configuration by which it was taken.
+    /// Version of the configuration under which the message was accepted.
     pub config_version: u64,
+    /// When the edge received the request.
     pub received_at: WallMs,
-    /// Not to run earlier.
+    /// Earliest time to run.
     pub due_at: WallMs,
-    /// Milliseconds after it fell due in which a run is to begin.
+    /// Target time in milliseconds between the due time and the start of a run.
     pub target_start_ms: u64,
-    /// Disks of stores that were given it before without a clear answer: they leave it to this one.
+    /// Disks of stores that the edge sent the message to earlier, without a clear answer. They have to
+    /// relinquish it to this store.
     pub also_sent_to: Vec<u64>,
-    /// It ends then, run or not.
+    /// The message becomes a dead letter at this time if it has not finished.
     pub expires_at: WallMs,
 }
 
 impl Envelope {
-    /// The key by which order is kept, if it is: among all messages of one tenant and key, whatever their routes.
+    /// The key within which order is kept, if the message is ordered. It spans all routes.
     pub fn ordering_key(&self) -> Option<TenantKey> {
         let key = self.key.as_ref().filter(|_| self.ordered)?;
         Some(self.tenant_key(key))
     }
 
-    /// The key by which repeats of one operation are known, if the client gave one.
+    /// The key that identifies repeats of the operation, if the client sent one.
     pub fn operation(&self) -> Option<TenantKey> {
         self.operation_key.as_ref().map(|key| self.tenant_key(key))
     }
 
-    /// The key that says which store takes the message, if not every store may: all requests of one operation have to meet
-    /// at one store, and all messages of one ordering key, whether the route is known as ordered by then or not.
+    /// The key that determines the store which accepts the message; `None` if any store may. It brings all
+    /// requests of one operation to the same store, and all messages of one ordering key, even if their route
+    /// is not ordered yet.
     pub fn partition_key(&self) -> Option<TenantKey> {
         match &self.key {
             Some(key) => Some(self.tenant_key(key)),
@@ -60,7 +65,8 @@
         }
     }
 
-    /// The operation key is to be known for as long as ends are.
+    /// Whether the message carries an operation key, which must be recognized as long as final records are
+    /// kept.
     pub fn has_operation_key(&self) -> bool {
         self.operation_key.is_some()
     }
@@ -70,10 +76,10 @@
     }
 }
 
-/// A key that a client chose. Keys of different tenants are different.
+/// A key chosen by a client. Each tenant has its own key space.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey {
-    /// The tenant's name; empty where the request needed none.
+    /// Name of the tenant; empty if the request needed no API key.
     pub tenant: String,
     pub key: String,
 }
@@ -85,18 +91,19 @@
     }
 }
 
-/// The bytes of a message, with a digest of them and of the message's id that was made when the message was taken. They
-/// can be read only through a check against that digest.
+/// The bytes of a message, with a digest of these bytes and of the message id, computed when the message was
+/// accepted. They can only be read by verifying that digest.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Body {
     digest: u64,
     bytes: Vec<u8>,
 }
 
-/// A body's bytes aren't those that were taken for its message.
+/// Error: the bytes of a body do not match the digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedBody {
     pub id: String,
+    /// Number of bytes found.
     pub length: usize,
 }
 
@@ -114,12 +121,12 @@
 impl std::error::Error for DamagedBody {}
 
 impl Body {
-    /// The body of the message with this id, as it is taken.
+    /// The body of a new message with this id.
     pub fn new(id: &str, bytes: Vec<u8>) -> Body {
         Body { digest: digest(id, &bytes), bytes }
     }
 
-    /// The bytes, if they are those that were taken for the message with this id.
+    /// The bytes, if they match the digest for the message with this id.
     pub fn verified(&self, id: &str) -> Result<&[u8], DamagedBody> {
         if self.digest == digest(id, &self.bytes) {
             return Ok(&self.bytes);
@@ -127,12 +134,12 @@
         Err(DamagedBody { id: id.to_string(), length: self.bytes.len() })
     }
 
-    /// How many bytes it has.
+    /// Number of bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether the client sent no bytes.
+    /// Whether the body is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -142,7 +149,7 @@
     xxh3_64_with_seed(bytes, xxh3_64(id.as_bytes()))
 }
 
-/// A whole message. Clones share the envelope and the body.
+/// A message with its body. Clones share the envelope and the body.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Message {
     pub envelope: Rc<Envelope>,
@@ -150,18 +157,18 @@
 }
 
 impl Message {
-    /// A message as it is taken.
+    /// A new message.
     pub fn new(envelope: Envelope, bytes: Vec<u8>) -> Message {
         let body = Rc::new(Body::new(&envelope.id, bytes));
         Message { envelope: Rc::new(envelope), body }
     }
 
-    /// The request's id.
+    /// The id of the request.
     pub fn id(&self) -> &str {
         &self.envelope.id
     }
 
-    /// The bytes that the client sent.
+    /// The bytes of the body, if they match the digest.
     pub fn verified_body(&self) -> Result<&[u8], DamagedBody> {
         self.body.verified(&self.envelope.id)
     }
--- a/crates/queue/src/operations.rs
+++ b/crates/queue/src/operations.rs
@@ -1,22 +1,22 @@
-//! Which message a store has for each operation: all requests of a tenant with one operation key are one message.
+//! Index of messages by operation: all requests of a tenant with the same operation key are one message.
 use crate::entry::MessageTransfer;
 use crate::message::{Envelope, TenantKey};
 use crate::owned::{OwnedMessage, Stage};
 use std::collections::HashMap;
 
-/// How far a message has come. Which of two messages of one operation stays is decided by it first.
+/// Progress of a message, the first criterion of [`Precedence`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
     NotStarted,
-    /// An attempt has failed.
+    /// At least one attempt has failed.
     Attempted,
     Running,
     Finished,
 }
 
-/// What decides between two messages of one operation: the one that has come further stays, of those that have not begun
-/// the one that was taken later. An owner takes a second one only where the first is on too few disks to have been
-/// acknowledged.
+/// Decides which of two messages of one operation is kept: the one that has progressed further and, if
+/// neither has started, the one accepted later. An owner accepts a second one only if the first is on too few
+/// disks to have been acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     progress: Progress,
@@ -31,6 +31,7 @@
 }
 
 impl OwnedMessage {
+    /// Precedence of an owned message.
     pub fn precedence(&self) -> Precedence {
         let sequence = self.envelope().sequence;
         match self.stage() {
@@ -42,30 +43,32 @@
 }
 
 impl MessageTransfer {
+    /// Precedence of a transferred message, which is not running at the other store.
     pub fn precedence(&self) -> Precedence {
         Precedence::live(self.attempts, self.message.envelope.sequence)
     }
 }
 
-/// The message of each operation, by its id.
+/// The id of the message of each operation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Operations {
     messages: HashMap<TenantKey, String>,
 }
 
 impl Operations {
+    /// The id of the message of an operation.
     pub fn get(&self, operation: &TenantKey) -> Option<&String> {
         self.messages.get(operation)
     }
 
-    /// This message is the one of its operation from now on.
+    /// Makes a message the one of its operation.
     pub fn set(&mut self, envelope: &Envelope) {
         if let Some(operation) = envelope.operation() {
             self.messages.insert(operation, envelope.id.clone());
         }
     }
 
-    /// A message isn't owned any more.
+    /// Removes a message that is no longer owned.
     pub fn remove(&mut self, envelope: &Envelope) {
         let Some(operation) = envelope.operation() else { return };
         if self.messages.get(&operation) == Some(&envelope.id) {
--- a/crates/queue/src/owned.rs
+++ b/crates/queue/src/owned.rs
@@ -1,4 +1,4 @@
-//! What is known of a message that this store owns.
+//! The state of a message that this store owns.
 use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::{Envelope, Message};
 use crate::ready::Position;
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Where a message stands that has not ended.
+/// The stage of an unfinished message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Not on enough disks yet.
     Replicating,
-    /// It may run once it is due and, with a key, once those before it have ended.
+    /// May run once it is due and, with an ordering key, once all earlier messages of the key have finished.
     Waiting,
-    /// At an endpoint.
+    /// Being delivered to an endpoint.
     Running,
 }
 
@@ -27,22 +27,22 @@
 #[derive(Clone, Debug)]
 pub struct OwnedMessage {
     state: State,
-    /// Attempts that failed.
+    /// Number of failed delivery attempts.
     pub attempts: u32,
-    /// Not to be tried again earlier.
+    /// Earliest time of the next attempt.
     pub not_before: WallMs,
-    /// Disks that hold a replica.
+    /// Disks that are known to hold a replica.
     pub confirmed_holders: BTreeSet<u64>,
-    /// Disks that were sent a replica, and may hold it.
+    /// Disks that were sent a replica and may hold it.
     pub sent_to: BTreeSet<u64>,
-    /// A call-back about its end is owed, now or once it has ended.
+    /// A callback about the outcome has to be sent, now or once the message has finished.
     pub callback_pending: bool,
-    /// Disks whose replica doesn't know of the end yet.
+    /// Disks that hold a replica and were not notified of the outcome yet.
     pub unnotified: BTreeSet<u64>,
-    /// Disks of other stores that were given the message too and count on a replica here: there is one once this store
-    /// has left the message to them.
+    /// Disks of other stores that received the message too and rely on a replica here. If this store
+    /// relinquishes the message, it keeps a replica for them.
     pub replica_owners: BTreeSet<u64>,
-    /// Where it stands among those of its route that may run.
+    /// Position among the waiting messages of its route, if it is scheduled.
     pub(crate) position: Option<Position>,
 }
 
@@ -74,6 +74,7 @@
         }
     }
 
+    /// The envelope, which is always kept.
     pub fn envelope(&self) -> &Rc<Envelope> {
         match &self.state {
             State::Live(message, _) => &message.envelope,
@@ -81,12 +82,12 @@
         }
     }
 
-    /// The request's id.
+    /// The id of the request.
     pub fn id(&self) -> &str {
         &self.envelope().id
     }
 
-    /// The whole message, unless it is completed.
+    /// The message with its body, unless it is completed.
     pub fn message(&self) -> Option<&Message> {
         match &self.state {
             State::Live(message, _) => Some(message),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The whole message, if it has not ended.
+    /// The message with its body, if it has not finished.
     pub fn live_message(&self) -> Option<&Message> {
         match &self.state {
             State::Live(message, _) => Some(message),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Where it stands, if it has not ended.
+    /// The stage, if the message has not finished.
     pub fn stage(&self) -> Option<Stage> {
         match &self.state {
             State::Live(_, stage) => Some(*stage),
@@ -110,12 +111,12 @@
         }
     }
 
-    /// It has not ended.
+    /// Whether the message has not finished.
     pub fn is_live(&self) -> bool {
         self.stage().is_some()
     }
 
-    /// What is kept of it, if it has ended.
+    /// What is kept of the message, if it has finished.
     pub fn finished_message(&self) -> Option<&FinishedMessage> {
         match &self.state {
             State::Live(..) => None,
@@ -123,18 +124,18 @@
         }
     }
 
-    /// Something is owed of it that must outlast this store, though it has ended: its body, its call-back, or that a repeat
-    /// of its operation is known.
+    /// Whether the message has finished but must still survive the loss of this store: because its body can
+    /// be requested, its callback is pending, or repeats of its operation have to be recognized.
     pub fn must_be_retained(&self) -> bool {
         self.finished_message().is_some_and(|finished| self.callback_pending || finished.must_be_retained())
     }
 
-    /// Disks that may hold a replica.
+    /// Disks that hold a replica or may hold one.
     pub fn possible_holders(&self) -> BTreeSet<u64> {
         self.confirmed_holders.union(&self.sent_to).copied().collect()
     }
 
-    /// Bytes of the body that is kept.
+    /// Size of the body, if it is kept.
     pub fn body_bytes(&self) -> usize {
         self.message().map_or(0, |message| message.body.len())
     }
@@ -143,7 +144,7 @@
         self.envelope().due_at.max(self.not_before)
     }
 
-    /// Changes the stage from one to another; false if it isn't at the first.
+    /// Moves from one stage to another. Returns false if the message is not in the first.
     pub(crate) fn advance(&mut self, from: Stage, to: Stage) -> bool {
         match &mut self.state {
             State::Live(_, stage) if *stage == from => {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// It has ended; false if it had before.
+    /// Records the outcome. Returns false if the message had finished before.
     pub(crate) fn finish(&mut self, final_record: FinalRecord) -> bool {
         let State::Live(message, _) = &self.state else { return false };
         self.state = State::Finished(FinishedMessage::new(message.clone(), final_record));
@@ -162,7 +163,7 @@
         true
     }
 
-    /// The message has this body: what was kept of it is damaged.
+    /// Replaces a message whose body is damaged.
     pub(crate) fn replace_message(&mut self, replacement: Message) {
         match &mut self.state {
             State::Live(message, _) | State::Finished(FinishedMessage::DeadLetter { message, .. }) => {
--- a/crates/queue/src/placement.rs
+++ b/crates/queue/src/placement.rs
@@ -1,13 +1,13 @@
-//! At which stores the copies of a message lie, so that it outlasts whatever may be lost at once.
+//! Decides which stores hold the copies of a message, so that it survives the tolerated losses.
 use settings::tolerance::{distinct, region, zone};
 use settings::{Location, Tolerance};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The zones and regions that a message has to be in.
+/// The numbers of zones and regions that the copies of a message have to cover.
 #[derive(Clone, Debug)]
 struct Spread {
     locations: BTreeMap<u64, Location>,
-    /// That of the store that owns the message, if its own copy counts.
+    /// Location of the store that owns the message, if its own copy counts.
     own: Option<Location>,
     zones: usize,
     regions: usize,
@@ -16,13 +16,13 @@
 impl Spread {
     fn new(tolerance: Tolerance, locations: BTreeMap<u64, Location>, own: Option<Location>) -> Spread {
         let all: Vec<&Location> = locations.values().chain(&own).collect();
-        // Where fewer are left, the loss that may be borne has happened.
+        // With fewer zones or regions left than that, the tolerated loss has already occurred.
         let zones = (tolerance.zones + 1).min(distinct(&all, zone));
         let regions = (tolerance.regions + 1).min(distinct(&all, region));
         Spread { locations, own, zones, regions }
     }
 
-    /// How many zones and regions a message is to be in that its copies aren't.
+    /// How many more zones and regions the copies have to cover.
     fn missing(&self, copies: &BTreeSet<u64>) -> (usize, usize) {
         let at: Vec<&Location> =
             copies.iter().filter_map(|disk| self.locations.get(disk)).chain(&self.own).collect();
@@ -30,7 +30,7 @@
         (zones, self.regions.saturating_sub(distinct(&at, region)))
     }
 
-    /// How many zones and regions are missing with one more copy there.
+    /// How many zones and regions would still be missing with one more copy on this disk.
     fn missing_with(&self, disk: u64, copies: &BTreeSet<u64>) -> usize {
         let mut with = copies.clone();
         with.insert(disk);
@@ -39,7 +39,7 @@
     }
 }
 
-/// The stores whose copies count now, and what copies each message needs at them.
+/// The stores whose copies count at present, and the copies that each message needs.
 #[derive(Clone, Debug)]
 pub struct Placement {
     available: BTreeSet<u64>,
@@ -48,13 +48,14 @@
 }
 
 impl Placement {
-    /// So many copies at these stores, wherever they stand.
+    /// Requires a number of copies at any of these stores.
     pub fn anywhere(available: BTreeSet<u64>, copies: usize) -> Placement {
         Placement { available, copies, spread: None }
     }
 
-    /// The same, in as many zones and regions as may be lost and one more. `locations` are those of the stores that may be
-    /// given more copies; `own` is that of the store that owns the messages, if what it has itself counts.
+    /// Also requires the copies to cover one more zone and region than may be lost. `locations` are those of
+    /// the stores that may receive copies; `own` is the location of the store that owns the messages, if its
+    /// own copy counts.
     pub fn with_spread(
         self,
         tolerance: Tolerance,
@@ -69,15 +70,15 @@
         &self.available
     }
 
-    /// How many copies a message needs.
+    /// Number of copies that a message needs.
     pub fn required_copies(&self) -> usize {
         self.copies
     }
 
-    /// How many more copies a message needs at the least that has these.
+    /// The least number of further copies that a message with these copies needs.
     pub fn missing_copies(&self, copies: &BTreeSet<u64>) -> usize {
         let there = copies.intersection(&self.available);
-        // Asked for each message that is owned, again and again: without a spread nothing is collected.
+        // This runs often, for every owned message: without a spread it allocates nothing.
         let Some(spread) = &self.spread else { return self.copies.saturating_sub(there.count()) };
         let there: BTreeSet<u64> = there.copied().collect();
         let missing = self.copies.saturating_sub(there.len());
@@ -85,8 +86,8 @@
         missing.max(zones).max(regions)
     }
 
-    /// Chooses so many of some stores, which come in the order of preference, for more copies of a message that has these:
-    /// those first that bring it into a zone or region that it has to be in.
+    /// Chooses up to `count` of the candidates, given in order of preference, to receive further copies of a
+    /// message that has these copies. Candidates that add a required zone or region come first.
     pub fn choose<T>(
         &self,
         mut candidates: Vec<T>,
--- a/crates/queue/src/replicas.rs
+++ b/crates/queue/src/replicas.rs
@@ -1,4 +1,5 @@
-//! What a store keeps for others: replicas of their messages, ends, and what is still owed of messages that have ended.
+//! What a store holds for others: replicas of their unfinished messages, final records, and finished messages
+//! that have to be retained.
 use crate::entry::{FinishedTransfer, MessageTransfer};
 use crate::finished::{FinalRecord, FinishedMessage};
 use crate::message::Message;
@@ -6,12 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// A message that has not ended, kept for other stores.
+/// An unfinished message held for other stores.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// Disks of the stores that it is kept for: several, if an edge gave the message to several.
+    /// Disks of the stores that it is held for: several, if an edge sent the message to several stores.
     pub owners: BTreeSet<u64>,
+    /// The message with its body.
     pub message: Message,
+    /// Number of failed delivery attempts.
     pub attempts: u32,
 }
 
@@ -21,22 +24,23 @@
     }
 }
 
-/// What is known here of a message of other stores that has ended.
+/// What is kept of a finished message of other stores.
 #[derive(Clone, Debug)]
 enum Retained {
-    /// The end alone: it was heard of without the message, or nothing more is owed of it.
+    /// Only the final record: the message itself was never here, or is no longer needed.
     FinalRecord(FinalRecord),
-    /// What may still be owed of it: the body of a dead letter, a call-back.
+    /// The finished message, which is needed for the body of a dead letter, for a pending callback or for its
+    /// operation key.
     Message(FinishedMessage),
 }
 
-/// A message of other stores that has ended.
+/// A finished message of other stores.
 #[derive(Clone, Debug)]
 struct FinishedReplica {
-    /// Who owned it, as far as that was known here.
+    /// Disks of the owners, as far as they are known.
     owners: BTreeSet<u64>,
     retained: Retained,
-    /// The call-back about its end was accepted, or nobody is owed one.
+    /// The callback was accepted, or none was requested.
     callback_done: bool,
 }
 
@@ -70,7 +74,7 @@
         self.message().map_or(0, FinishedMessage::body_bytes)
     }
 
-    /// Keeps of the message only what is still owed.
+    /// Reduces the message to its final record if nothing else is needed.
     fn trim(&mut self) {
         let must_be_retained = self.message().is_some_and(FinishedMessage::must_be_retained);
         if self.callback_done && !must_be_retained {
@@ -79,58 +83,65 @@
     }
 }
 
-/// All that a store keeps for others.
+/// Everything that a store holds for others.
 #[derive(Debug, Default)]
 pub(crate) struct Replicas {
     live: BTreeMap<String, Replica>,
     finished: BTreeMap<String, FinishedReplica>,
-    /// Bytes of all bodies.
+    /// Total size of all bodies.
     bytes: usize,
 }
 
 impl Replicas {
+    /// Total size of all bodies.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// Number of unfinished replicas.
     pub fn live_count(&self) -> usize {
         self.live.len()
     }
 
+    /// The replica of an unfinished message.
     pub fn live(&self, id: &str) -> Option<&Replica> {
         self.live.get(id)
     }
 
+    /// The replica of an unfinished message, to change it.
     pub fn live_mut(&mut self, id: &str) -> Option<&mut Replica> {
         self.live.get_mut(id)
     }
 
-    /// The message with its body, if that is kept here.
+    /// The message with its body, if the body is present.
     pub fn message(&self, id: &str) -> Option<&Message> {
         let dead_letter = || self.finished.get(id)?.message()?.dead_letter();
         self.live.get(id).map(|replica| &replica.message).or_else(dead_letter)
     }
 
+    /// Whether a message is known to have finished.
     pub fn is_finished(&self, id: &str) -> bool {
         self.finished.contains_key(id)
     }
 
+    /// The final record of a message, if it is known to have finished.
     pub fn final_record_of(&self, id: &str) -> Option<FinalRecord> {
         self.finished.get(id).map(FinishedReplica::final_record)
     }
 
-    /// What is kept of a message that has ended, and for whom.
+    /// A finished message that is still kept, and the disks of its owners.
     pub fn finished(&self, id: &str) -> Option<(&BTreeSet<u64>, FinishedTransfer)> {
         let replica = self.finished.get(id)?;
         Some((&replica.owners, replica.transfer()?))
     }
 
-    /// The call-back about an end is known to have been accepted.
+    /// Whether no callback is pending any more for a finished message.
     pub fn is_callback_done(&self, id: &str) -> bool {
         self.finished.get(id).is_some_and(|replica| replica.callback_done)
     }
 
-    /// Keeps a message for its owner. If its end is retained, what is new is that this owner may owe something of it.
+    /// Holds a message for its owner. If the message is known to have finished, it is held as a finished
+    /// message, since this owner may still have to send its callback.
     pub fn keep(&mut self, owner: u64, message: Message) {
         if let Some(final_record) = self.final_record_of(message.id()) {
             let callback_pending = message.envelope.callback.is_some();
@@ -147,7 +158,7 @@
         self.live.insert(id, Replica { owners, message, attempts: 0 });
     }
 
-    /// Keeps a message that has ended for its owner.
+    /// Holds a finished message for its owner.
     pub fn keep_finished(&mut self, owner: u64, transfer: FinishedTransfer) {
         let id = transfer.finished.id().to_string();
         let callback_done = transfer.callback_done || self.is_callback_done(&id);
@@ -160,7 +171,7 @@
         );
     }
 
-    /// A message has ended; false if nothing but that is known of it.
+    /// Records an outcome. Returns false if there is no unfinished replica of the message.
     pub fn finish(&mut self, final_record: FinalRecord) -> bool {
         let id = final_record.id.clone();
         match self.take_live(&id) {
@@ -182,7 +193,7 @@
         }
     }
 
-    /// Keeps the end of a message of this owner, which is retained from a third store.
+    /// Keeps a final record for an owner, as reported by a third store.
     pub fn keep_final_record(&mut self, owner: u64, final_record: FinalRecord) {
         let id = final_record.id.clone();
         self.finish(final_record);
@@ -191,7 +202,7 @@
         }
     }
 
-    /// The call-back about an end was accepted.
+    /// Records that the receiver accepted the callback.
     pub fn mark_callback_done(&mut self, id: &str) {
         if let Some(mut replica) = self.take_finished(id) {
             replica.callback_done = true;
@@ -199,7 +210,8 @@
         }
     }
 
-    /// Nothing is kept for this owner any more: what was kept for it alone goes, but for ends.
+    /// Stops holding a message for this owner. What was held for no other owner is removed, except for the
+    /// final record.
     pub fn drop_for(&mut self, owner: u64, id: &str) {
         if let Some(mut replica) = self.take_finished(id) {
             let was_last = replica.owners.remove(&owner) && replica.owners.is_empty();
@@ -215,20 +227,20 @@
         }
     }
 
-    /// Takes a message away, live or ended; the stores that it was kept for.
+    /// Removes a message, finished or not. Returns the disks of the owners that it was held for.
     pub fn remove(&mut self, id: &str) -> BTreeSet<u64> {
         let mut owners = self.take_live(id).map_or(BTreeSet::new(), |replica| replica.owners);
         owners.extend(self.take_finished(id).into_iter().flat_map(|replica| replica.owners));
         owners
     }
 
-    /// Replicas of messages of an owner that have not ended, by id, from the first id after one on.
+    /// Replicas of an owner's unfinished messages with ids greater than `after`, ordered by id.
     pub fn live_after<'a>(&'a self, owner: u64, after: &str) -> impl Iterator<Item = &'a Replica> {
         let replicas = self.live.range(ids_after(after)).map(|(_, replica)| replica);
         replicas.filter(move |replica| replica.owners.contains(&owner))
     }
 
-    /// What is kept of an owner's messages that have ended, by id, from the first id after one on.
+    /// Finished messages of an owner that are still kept, with ids greater than `after`, ordered by id.
     pub fn finished_after<'a>(
         &'a self,
         owner: u64,
@@ -238,7 +250,7 @@
         replicas.filter(move |replica| replica.owners.contains(&owner)).filter_map(FinishedReplica::transfer)
     }
 
-    /// Ends of an owner's messages of which nothing else is kept.
+    /// Final records of an owner's messages of which nothing else is kept.
     pub fn bare_final_records_of(&self, owner: u64) -> impl Iterator<Item = &FinalRecord> {
         let of_owner = self.finished.values().filter(move |replica| replica.owners.contains(&owner));
         of_owner.filter_map(|replica| match &replica.retained {
@@ -247,7 +259,7 @@
         })
     }
 
-    /// Forgets ends older than a time.
+    /// Discards messages that finished before a time.
     pub fn discard_finished(&mut self, before: WallMs) {
         let bytes = &mut self.bytes;
         self.finished.retain(|_, replica| {
@@ -278,7 +290,7 @@
     }
 }
 
-/// All ids after one.
+/// The range of all ids greater than `after`.
 fn ids_after(after: &str) -> (Bound<String>, Bound<String>) {
     (Bound::Excluded(after.to_string()), Bound::Unbounded)
 }
--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -1,8 +1,10 @@
-//! What stores decide about replicas: those of a store's own messages at others, and those that it keeps for others.
+//! Decisions about replicas: those of a store's own messages at other stores, and those that it holds for
+//! others.
 //!
-//! Every message is to be on as many other disks as may be lost at once, and so is every dead letter and every message
-//! whose call-back is owed. What follows when a store falls silent, returns or is given up is decided here from what the
-//! queue knows; calls, disks and clocks are the caller's.
+//! Every message has to be on as many other disks as may be lost at once, and so does every dead letter and
+//! every finished message with a pending callback or an operation key. This module decides from the state of
+//! the queue what to do when a store becomes unreachable, returns or is declared lost. Network calls, disk
+//! writes and clocks are left to the caller.
 use crate::entry::{Entry, FinishedTransfer, MessageTransfer};
 use crate::finished::FinalRecord;
 use crate::owned::{OwnedMessage, Stage};
@@ -11,79 +13,84 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages of one owner, by what is known of them.
+/// Ids of one owner's messages, by what is kept of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct MessageIds {
-    /// Messages that have not ended.
+    /// Messages that have not finished.
     pub live: Vec<String>,
-    /// Messages that have ended and of which something is owed.
+    /// Finished messages that have to be retained.
     pub finished: Vec<String>,
-    /// Messages of which only the end is kept.
+    /// Messages of which only the final record is kept.
     pub final_records: Vec<String>,
 }
 
-/// What one store gives another to keep for an owner that is away.
+/// Replicas that one store sends to another to hold for an absent owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ReplicaBatch {
+    /// Unfinished messages.
     pub live: Vec<MessageTransfer>,
+    /// Finished messages that have to be retained.
     pub finished: Vec<FinishedTransfer>,
+    /// Final records without their messages.
     pub final_records: Vec<FinalRecord>,
 }
 
 impl ReplicaBatch {
+    /// Whether the batch contains nothing.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty() && self.finished.is_empty() && self.final_records.is_empty()
     }
 }
 
-/// What an owner learns when another store tells what it holds.
+/// What an owner learns from the list of messages that another store holds for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reconciliation {
-    /// Ends and accepted call-backs that the other may not have heard of.
+    /// Outcomes and completed callbacks that the holder may not know.
     pub missed_entries: Vec<Entry>,
-    /// Messages that only the other knows.
+    /// Messages that only the holder knows.
     pub unknown: Vec<String>,
-    /// Messages that have not ended here, and have by what the other knows.
+    /// Messages that have not finished here, but have finished as far as the holder knows.
     pub finished_there: Vec<String>,
 }
 
-/// Which owners are away, and what was done about it. Times are milliseconds on a clock that only rises.
+/// Tracks which owners are absent, and the replication of their messages. Times are milliseconds of a
+/// monotonic clock.
 #[derive(Debug, Default)]
 pub struct AbsenceTracker {
     /// When each owner last called this store.
     last_call_ms: BTreeMap<u64, u64>,
-    /// Owners that copies came for from others, and that have not heard of them.
+    /// Owners that have not learned yet which replicas other stores added here for them.
     unreconciled: BTreeSet<u64>,
-    /// For each absent owner, the stores that were there when its copies were made whole.
+    /// For each absent owner, the available stores at the time when its messages were last fully replicated.
     fully_replicated_among: BTreeMap<u64, BTreeSet<u64>>,
     in_progress: BTreeSet<u64>,
-    /// The stores that were there when it was looked last.
+    /// The stores that were available at the last update.
     present: BTreeSet<u64>,
 }
 
 impl AbsenceTracker {
-    /// An owner called.
+    /// Records a call from an owner.
     pub fn record_call(&mut self, owner: u64, now_ms: u64) {
         self.last_call_ms.insert(owner, now_ms);
     }
 
-    /// Whether an owner has to hear what is kept for it before more is kept.
+    /// Whether an owner has to learn what is held for it before it may add anything more.
     pub fn must_reconcile(&self, owner: u64) -> bool {
         self.unreconciled.contains(&owner)
     }
 
-    /// An owner has heard of all that is kept for it.
+    /// Records that an owner has learned of everything held for it.
     pub fn mark_reconciled(&mut self, owner: u64) {
         self.unreconciled.remove(&owner);
     }
 
-    /// An owner hasn't called for so long.
+    /// Whether an owner has not called for `timeout_ms`.
     pub fn is_absent(&self, owner: u64, timeout_ms: u64, now_ms: u64) -> bool {
         self.last_call_ms.get(&owner).is_none_or(|at| now_ms >= at + timeout_ms)
     }
 
-    /// Notes which stores are there and which owners are not; tells the owners whose copies are to be made whole, and
-    /// whether other stores are there than before.
+    /// Records which stores are available and which owners are absent. Returns the absent owners whose
+    /// messages have to be replicated now, and whether the set of available stores changed.
     pub fn update_presence(&mut self, present: &BTreeSet<u64>, absent: &BTreeSet<u64>) -> (Vec<u64>, bool) {
         let changed = self.present != *present;
         if changed {
@@ -99,7 +106,8 @@
         (due, changed)
     }
 
-    /// An absent owner's copies are whole among the stores that were there, or not.
+    /// Records that replication for an absent owner has ended, and whether its messages are fully replicated
+    /// among these stores.
     pub fn replication_finished(&mut self, owner: u64, among: BTreeSet<u64>, complete: bool) {
         self.in_progress.remove(&owner);
         if complete {
@@ -108,7 +116,8 @@
     }
 }
 
-/// The stores that are to hold a message, of those that are there: for every holder the same.
+/// The available stores that should hold a message, chosen by rendezvous hashing: every holder computes the
+/// same result.
 pub fn choose_holders(id: &str, placement: &Placement) -> Vec<u64> {
     let weight = |disk: &u64| xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), *disk);
     let mut by_weight: Vec<u64> = placement.available().iter().copied().collect();
@@ -116,7 +125,7 @@
     placement.choose(by_weight, |disk| *disk, &BTreeSet::new(), placement.required_copies())
 }
 
-/// Own messages that have not ended and lack copies.
+/// Own unfinished messages that lack copies.
 pub fn under_replicated<'a>(
     queue: &'a Queue,
     placement: &'a Placement,
@@ -128,7 +137,7 @@
         .filter(|owned| placement.missing_copies(&owned.confirmed_holders) > 0)
 }
 
-/// Own messages that have ended, of which something is owed and that lack copies.
+/// Own finished messages that have to be retained and lack copies.
 pub fn under_replicated_finished<'a>(
     queue: &'a Queue,
     placement: &'a Placement,
@@ -137,14 +146,14 @@
     retained.filter(|owned| placement.missing_copies(&owned.confirmed_holders) > 0)
 }
 
-/// An own message that has ended, as it is given to another store.
+/// The transfer of an owned message to another store, if it has finished.
 pub fn finished_transfer(owned: &OwnedMessage) -> Option<FinishedTransfer> {
     let finished = owned.finished_message()?.clone();
     Some(FinishedTransfer { finished, callback_done: !owned.callback_pending })
 }
 
-/// Keeps what an owner says of its messages. Tells the records to be written, and whether they have to last before the
-/// owner is told so.
+/// Applies records that an owner sent about its messages. Returns the records to write to the log, and
+/// whether they have to be durable before they are acknowledged.
 pub fn apply_owner_entries(queue: &mut Queue, owner: u64, entries: Vec<Entry>) -> (Vec<Entry>, bool) {
     let must_be_durable = entries.iter().any(Entry::has_message);
     let mut applied = Vec::new();
@@ -163,7 +172,7 @@
     (applied, must_be_durable)
 }
 
-/// Another store has told what it holds of this store's messages.
+/// Compares the messages owned here with what another store holds of them, and updates their holders.
 pub fn reconcile(queue: &mut Queue, holder: u64, held: &HeldIds) -> Reconciliation {
     let mut reconciliation = Reconciliation::default();
     for id in &held.live {
@@ -195,8 +204,8 @@
     reconciliation
 }
 
-/// Which of an absent owner's messages other stores should hold, of those that are there to stay. What an owner that was
-/// given up owed is its heir's to copy: only ends are looked after.
+/// Which messages of an absent owner each of the available stores should hold. If the owner was declared
+/// lost, its successor takes care of the messages, so only final records are included.
 pub fn replication_targets(
     queue: &Queue,
     owner: u64,
@@ -221,7 +230,7 @@
     targets
 }
 
-/// Which of an absent owner's messages aren't here, and of which the end isn't known.
+/// Which of these messages of an absent owner are missing here, and which final records are unknown.
 pub fn missing_ids(queue: &Queue, owner: u64, ids: &MessageIds) -> MessageIds {
     let holds_live = |id: &str| {
         let replica = queue.replica(id).is_some_and(|replica| replica.owners.contains(&owner));
@@ -241,8 +250,8 @@
     }
 }
 
-/// Keeps messages and ends for an owner that is away; tells the records to be written. The owner has to hear of the
-/// messages that have not ended before anything more is kept for it.
+/// Holds messages and final records for an absent owner, and returns the records to write to the log. If
+/// there are unfinished messages among them, the owner has to reconcile before it may add anything more.
 pub fn keep_replica_batch(
     queue: &mut Queue,
     absences: &mut AbsenceTracker,
@@ -271,8 +280,8 @@
     entries
 }
 
-/// Owns messages from now on. Tells the records to be written, and the ids of those that are new here: they run once
-/// the records last.
+/// Takes ownership of messages. Returns the records to write to the log, and the ids of the messages that are
+/// new here; these may run once the records are durable.
 pub fn adopt(queue: &mut Queue, transfers: Vec<MessageTransfer>) -> (Vec<Entry>, Vec<String>) {
     let mut entries = Vec::new();
     let mut ids = Vec::new();
@@ -292,8 +301,8 @@
     (entries, ids)
 }
 
-/// Owns messages that have ended from now on, with what is owed of them. Tells the records to be written, and those that
-/// are new here.
+/// Takes ownership of finished messages. Returns the records to write to the log, and the messages that are
+/// new here.
 pub fn adopt_finished(
     queue: &mut Queue,
     transfers: Vec<FinishedTransfer>,
@@ -313,7 +322,7 @@
     (entries, new)
 }
 
-/// Messages of an owner that are here and have not ended: own ones, or replicas.
+/// Unfinished messages of an owner: owned messages if the owner is this store, replicas otherwise.
 pub fn live_transfers(queue: &Queue, owner: u64) -> Vec<MessageTransfer> {
     if owner != queue.disk() {
         return queue.replicas_of(owner).map(MessageTransfer::from).collect();
@@ -324,7 +333,8 @@
     queue.all_owned().filter_map(transfer).collect()
 }
 
-/// Messages of an owner that are here, have ended, and of which something is owed: own ones, or replicas.
+/// Finished messages of an owner that have to be retained: owned messages if the owner is this store,
+/// replicas otherwise.
 pub fn finished_transfers(queue: &Queue, owner: u64) -> Vec<FinishedTransfer> {
     if owner != queue.disk() {
         return queue.finished_after(owner, "").collect();
@@ -332,7 +342,8 @@
     queue.all_owned().filter(|owned| owned.must_be_retained()).filter_map(finished_transfer).collect()
 }
 
-/// Those of some messages that are owned and safe here, or whose end is known: nobody else is to run them.
+/// Those of the given messages that this store has accepted or knows to have finished. No other store may run
+/// them.
 pub fn accepted_or_finished(queue: &Queue, mut ids: Vec<String>) -> Vec<String> {
     let is_accepted =
         |id: &str| queue.owned(id).is_some_and(|owned| owned.stage() != Some(Stage::Replicating));
@@ -340,7 +351,7 @@
     ids
 }
 
-/// The records that tell all that is known of a message, for a log that gives up older ones.
+/// The records that describe the current state of a message, for compaction of the log.
 pub fn current_entries(queue: &Queue, id: &str) -> Vec<Entry> {
     if let Some(owned) = queue.owned(id) {
         return current_entries_of_owned(queue.disk(), owned);
--- a/crates/queue/src/schedule.rs
+++ b/crates/queue/src/schedule.rs
@@ -1,31 +1,31 @@
-//! Which of the messages that a store owns may run: those of a key one after the other, those of a route in the order in
-//! which they are worth most.
+//! Decides which owned messages may run: those of an ordering key one after another, those of a route in the
+//! order that lets most of them start on time.
 use crate::message::{Envelope, TenantKey};
 use crate::owned::{OwnedMessage, Stage};
 use crate::ready::{Position, Ready};
 use crate::WallMs;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How far a line of a key is looked through for a message that may still run in its aim.
+/// How many messages of a key are searched for one that can still start on time.
 const MAX_LOOKAHEAD: usize = 16;
 
-/// After so many times its aim, a message has waited for very long.
-const OVERDUE_TARGET_MULTIPLE: u64 = 11;
+/// Multiple of its target start time after which a message is long overdue.
+const LONG_OVERDUE_TARGET_MULTIPLE: u64 = 11;
 
 /// All messages that a store owns, by id.
 pub(crate) type Messages = BTreeMap<String, OwnedMessage>;
 
-/// What may run, and in which order.
+/// The waiting messages and their order.
 #[derive(Default)]
 pub(crate) struct Schedule {
-    /// Waiting messages by route; of those with a key only the first.
+    /// Waiting messages by route; of each ordering key only the first.
     ready: BTreeMap<String, Ready>,
-    /// Messages of a key in the order in which they were taken.
+    /// Ids of the messages of each ordering key, in order of their sequence numbers.
     key_queues: BTreeMap<TenantKey, VecDeque<String>>,
 }
 
 impl Schedule {
-    /// A message may run from now on, behind those of its key.
+    /// Makes a message runnable, after the earlier ones of its ordering key.
     pub fn add(&mut self, messages: &mut Messages, id: &str) {
         let Some(envelope) = messages.get(id).map(|owned| owned.envelope().clone()) else { return };
         match envelope.ordering_key() {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A message doesn't run any more: the next of its key may.
+    /// Removes a message that will not run any more. The next of its key may run then.
     pub fn remove(&mut self, messages: &mut Messages, envelope: &Envelope) {
         self.unschedule(messages, &envelope.id);
         let Some(key) = envelope.ordering_key() else { return };
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Takes its place in the line of its key. Only the first of a line is ready; one that has begun stays first.
+    /// Inserts a message into the queue of its key. Only the first one is ready; a message that has started
+    /// stays first.
     fn enqueue(&mut self, messages: &mut Messages, key: TenantKey, envelope: &Envelope) {
         let key_queue = self.key_queues.entry(key).or_default();
         let stage = |id: &String| messages.get(id).and_then(OwnedMessage::stage);
@@ -66,14 +67,14 @@
         if let Some(other) = displaced {
             self.unschedule(messages, &other);
         }
-        // With a new message in it, it may be worth more now to get on with the line.
+        // The new message may be on time and thereby raise the priority of the whole key.
         let first = first.filter(|id| messages.get(id).and_then(OwnedMessage::stage) == Some(Stage::Waiting));
         if let Some(first) = first {
             self.schedule_at_due(messages, &first);
         }
     }
 
-    /// It isn't among those that may run.
+    /// Removes a message from the waiting ones of its route.
     pub fn unschedule(&mut self, messages: &mut Messages, id: &str) {
         let Some(owned) = messages.get_mut(id) else { return };
         let position = owned.position.take();
@@ -82,7 +83,7 @@
         }
     }
 
-    /// It waits for its time; [`Schedule::next`] moves it on.
+    /// Schedules a message for its due time, when [`Schedule::next`] updates its position.
     pub fn schedule_at_due(&mut self, messages: &mut Messages, id: &str) {
         if let Some(due_at) = messages.get(id).map(OwnedMessage::due_at) {
             self.set_position(messages, id, Position::NotDue(due_at));
@@ -96,8 +97,8 @@
         self.ready.entry(owned.envelope().route.clone()).or_default().insert(id, position);
     }
 
-    /// Where a message that is due stands: how many are to run before the first of its line that may still run in its
-    /// aim, and until when that is; late ones come after all of these.
+    /// The position of a message that is due: how many messages have to run before the first of its key that
+    /// can still start on time, and until when that one can. Messages without one are late.
     fn position_of(&self, messages: &Messages, id: &str, now: WallMs) -> Option<Position> {
         let envelope = messages.get(id)?.envelope();
         let key_queue = envelope.ordering_key().and_then(|key| self.key_queues.get(&key));
@@ -111,7 +112,7 @@
         };
         Some(match on_time {
             Some((rank, target)) => Position::OnTime(rank, target),
-            None => Position::Overdue(envelope.due_at + envelope.target_start_ms * OVERDUE_TARGET_MULTIPLE),
+            None => Position::Late(envelope.due_at + envelope.target_start_ms * LONG_OVERDUE_TARGET_MULTIPLE),
         })
     }
 
@@ -122,8 +123,8 @@
         }
     }
 
-    /// The message of a route that is to run next, of those that `may_run`: first those that can still begin within
-    /// their aim, then late ones in their order.
+    /// The next message of a route to run among those that `may_run` allows, in the order of
+    /// [`Ready::in_order`].
     pub fn next(
         &mut self,
         messages: &mut Messages,
@@ -141,17 +142,17 @@
         self.ready.get(route)?.in_order(now).find(allowed).cloned()
     }
 
-    /// Routes with messages that may run.
+    /// Routes with waiting messages.
     pub fn routes(&self) -> impl Iterator<Item = &String> {
         self.ready.iter().filter(|(_, ready)| ready.len() > 0).map(|(route, _)| route)
     }
 
-    /// When the next message falls due that isn't yet.
+    /// When the next message that is not due yet becomes due.
     pub fn next_due(&self) -> Option<WallMs> {
         self.ready.values().filter_map(Ready::next_due).min()
     }
 
-    /// Waiting messages of a route that may run or become due.
+    /// Number of waiting messages of a route.
     pub fn backlog(&self, route: &str) -> usize {
         self.ready.get(route).map_or(0, Ready::len)
     }
--- a/crates/queue/src/state/held.rs
+++ b/crates/queue/src/state/held.rs
@@ -1,4 +1,4 @@
-//! What a queue keeps for other stores, as they ask for it.
+//! What a queue holds for other stores.
 use super::Queue;
 use crate::entry::FinishedTransfer;
 use crate::finished::FinalRecord;
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// What a store holds for the owner of some messages, by id.
+/// Ids of the messages that a store holds for their owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct HeldIds {
-    /// Messages that have not ended as far as it knows.
+    /// Messages that have not finished, as far as the holder knows.
     pub live: BTreeSet<String>,
-    /// Messages that have ended, with what is still owed of them.
+    /// Finished messages that are still kept along with their outcome.
     pub finished: BTreeSet<String>,
 }
 
 impl HeldIds {
-    /// As many of the first ids after one, and whether there are more.
+    /// The first `count` ids after `after`, and whether there are more.
     pub fn page_after(&self, after: &str, count: usize) -> (HeldIds, bool) {
         let rest = || (Bound::Excluded(after.to_string()), Bound::Unbounded);
         let live = self.live.range(rest()).map(|id| (id, true));
@@ -33,14 +33,14 @@
         (piece, rest.is_some())
     }
 
-    /// The last id.
+    /// The greatest id.
     pub fn last(&self) -> Option<&String> {
         self.live.last().max(self.finished.last())
     }
 }
 
 impl Queue {
-    /// Keeps a message for another store.
+    /// Holds a message for its owner, another store.
     pub fn keep_replica(&mut self, owner: u64, message: Message) {
         match self.owned.get_mut(message.id()) {
             Some(owned) => drop(owned.replica_owners.insert(owner)),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Keeps a message that has ended for another store. What is owned here and has not ended is ended by the caller.
+    /// Holds a finished message for its owner, another store. If this store owns the message and it has not
+    /// finished here, the caller has to finish it.
     pub fn keep_finished(&mut self, owner: u64, transfer: FinishedTransfer) {
         match self.owned.get_mut(transfer.finished.id()) {
             Some(owned) => drop(owned.replica_owners.insert(owner)),
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Nothing is kept of a message for this owner any more: what was kept for it alone goes, but for ends.
+    /// Stops holding a message for this owner. The replica is removed if it was held for no other owner; a
+    /// final record is kept.
     pub fn drop_replica(&mut self, owner: u64, id: &str) {
         if let Some(owned) = self.owned.get_mut(id) {
             owned.replica_owners.remove(&owner);
@@ -64,22 +66,22 @@
         self.replicas.drop_for(owner, id);
     }
 
-    /// A replica that is kept here of a message that has not ended.
+    /// The replica of an unfinished message.
     pub fn replica(&self, id: &str) -> Option<&Replica> {
         self.replicas.live(id)
     }
 
-    /// Replicas of messages of an owner that have not ended, by id.
+    /// Replicas of an owner's unfinished messages, ordered by id.
     pub fn replicas_of(&self, owner: u64) -> impl Iterator<Item = &Replica> {
         self.replicas_after(owner, "")
     }
 
-    /// The same, from the first id after one on.
+    /// Replicas of an owner's unfinished messages with ids greater than `after`, ordered by id.
     pub fn replicas_after<'a>(&'a self, owner: u64, after: &str) -> impl Iterator<Item = &'a Replica> {
         self.replicas.live_after(owner, after)
     }
 
-    /// What is kept of an owner's messages that have ended, by id, from the first id after one on.
+    /// Finished messages of an owner that are still kept, with ids greater than `after`, ordered by id.
     pub fn finished_after<'a>(
         &'a self,
         owner: u64,
@@ -88,17 +90,18 @@
         self.replicas.finished_after(owner, after)
     }
 
-    /// What is kept of a message of others that has ended, and for whom.
+    /// A finished message of other stores that is still kept, and the disks of its owners.
     pub fn finished_replica(&self, id: &str) -> Option<(&BTreeSet<u64>, FinishedTransfer)> {
         self.replicas.finished(id)
     }
 
-    /// The call-back about the end of a message of others is known to have been accepted.
+    /// Whether no callback is pending any more for a finished message of other stores.
     pub fn is_callback_done(&self, id: &str) -> bool {
         self.replicas.is_callback_done(id)
     }
 
-    /// All that is held for a store: replicas, and own messages of which there will be one once they are left to others.
+    /// Everything held for a store: replicas, and owned messages of which a replica will remain once this
+    /// store relinquishes them.
     pub fn held_for(&self, owner: u64) -> HeldIds {
         let mut held = HeldIds::default();
         held.live.extend(self.replicas_of(owner).map(|replica| replica.message.id().to_string()));
@@ -113,19 +116,20 @@
         held
     }
 
-    /// Keeps the end of a message of another store, which is known from a third one.
+    /// Keeps the final record of another store's message, as reported by a third store. Does nothing if the
+    /// message is owned here.
     pub fn keep_final_record(&mut self, owner: u64, final_record: FinalRecord) {
         if !self.owned.contains_key(&final_record.id) {
             self.replicas.keep_final_record(owner, final_record);
         }
     }
 
-    /// Ends of another store's messages of which nothing else is kept.
+    /// Final records of an owner's messages of which nothing else is kept.
     pub fn bare_final_records_of(&self, owner: u64) -> impl Iterator<Item = &FinalRecord> {
         self.replicas.bare_final_records_of(owner)
     }
 
-    /// The call-back about an end was accepted.
+    /// Records that the receiver accepted the callback about the outcome of a message.
     pub fn mark_callback_done(&mut self, id: &str) {
         match self.owned.get_mut(id) {
             Some(owned) => owned.callback_pending = false,
--- a/crates/queue/src/state/mod.rs
+++ b/crates/queue/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The view of all messages that is folded from the records.
+//! The queue: the state of all messages after the log records have been applied.
 mod held;
 
 use crate::entry::{Entry, FinishedTransfer};
@@ -13,43 +13,45 @@
 
 pub use held::HeldIds;
 
-/// How many messages a store has, by what becomes of them.
+/// Number of messages in a store, by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Waiting, or not on enough disks yet.
+    /// Waiting to run, or not replicated enough yet.
     pub waiting: usize,
+    /// Being delivered to an endpoint.
     pub running: usize,
+    /// Finished, with a record still kept.
     pub finished: usize,
-    /// Kept for other stores.
+    /// Unfinished messages held for other stores.
     pub replicas: usize,
 }
 
-/// The view of one store.
+/// All messages of one store.
 #[derive(Default)]
 pub struct Queue {
     disk: u64,
     owned: Messages,
-    /// Bytes of the bodies of owned messages.
+    /// Total size of the bodies of owned messages.
     owned_bytes: usize,
     schedule: Schedule,
     operations: Operations,
     replicas: Replicas,
-    /// Disks of stores that were given up.
+    /// Disks of stores that were declared lost.
     fenced: BTreeSet<u64>,
-    /// Disks of lost stores that this one has taken over from.
+    /// Disks of lost stores whose messages this store has taken over.
     taken_over: BTreeSet<u64>,
-    /// Messages that were left to others, as read from the disk.
+    /// Messages relinquished to other stores, as read from the log.
     relinquished: BTreeSet<String>,
 }
 
 impl Queue {
-    /// The queue of a store with this disk.
+    /// An empty queue for the store with this disk.
     pub fn new(disk: u64) -> Queue {
         Queue { disk, ..Queue::default() }
     }
 
-    /// Folds one record that was read from the disk at a start. Every message that is there counts as taken: whoever
-    /// handed it in may have been told so.
+    /// Applies one record that was read from the log at startup. Every message in the log counts as accepted,
+    /// because its sender may have received an acknowledgement.
     pub fn replay(&mut self, entry: Entry) {
         match entry {
             Entry::Disk(disk) => self.disk = disk,
@@ -83,8 +85,9 @@
         }
     }
 
-    /// After all records were folded: what is owned here may run. What other stores were given before is told: it may
-    /// run once these leave it to this one.
+    /// Completes recovery after all records were applied: makes the messages owned here runnable. Returns the
+    /// messages that were also sent to other stores; they stay in [`Stage::Replicating`] until those stores
+    /// relinquish them.
     pub fn finish_recovery(&mut self) -> Vec<Message> {
         let replicating = self.owned.values().filter(|owned| owned.stage() == Some(Stage::Replicating));
         let (contested, mut uncontested): (Vec<Message>, Vec<Message>) = replicating
@@ -96,17 +99,18 @@
         contested
     }
 
-    /// The highest place that an owned message has.
+    /// The highest sequence number of an owned message, or 0 if there is none.
     pub fn highest_sequence(&self) -> u64 {
         self.owned.values().map(|owned| owned.envelope().sequence).max().unwrap_or(0)
     }
 
-    /// The identity of the disk.
+    /// Identity of the disk.
     pub fn disk(&self) -> u64 {
         self.disk
     }
 
-    /// Takes a message to own it; it doesn't run before [`Queue::accept`]. False if it is known already.
+    /// Adds a message that this store owns. It does not run before [`Queue::mark_replicated`]. Returns false
+    /// if the message is already known.
     pub fn add(&mut self, message: Message) -> bool {
         let id = message.id().to_string();
         if self.owned.contains_key(&id) || self.replicas.is_finished(&id) {
@@ -130,7 +134,8 @@
         &self.operations
     }
 
-    /// Finds the message that is_kept of each operation anew: which one it is may have changed with every record.
+    /// Rebuilds the index of operations. Any record may have changed which message of an operation takes
+    /// precedence.
     pub(crate) fn index_operations(&mut self) {
         let mut by_precedence: Vec<&OwnedMessage> = self.owned.values().collect();
         by_precedence.sort_by_key(|owned| owned.precedence());
@@ -139,7 +144,8 @@
         self.operations = operations;
     }
 
-    /// A message is on enough disks: it may run, behind those of its key.
+    /// Marks a message as replicated on enough disks: it may run, after the earlier messages of its ordering
+    /// key.
     pub fn mark_replicated(&mut self, id: &str) {
         let replicated =
             self.owned.get_mut(id).is_some_and(|o| o.advance(Stage::Replicating, Stage::Waiting));
@@ -148,28 +154,29 @@
         }
     }
 
-    /// The message of a route that is to run next, of those that `may_run`: first those that can still begin within
-    /// their aim, then late ones in their order.
+    /// The next message of a route to run among those that `may_run` allows. Messages that can still start
+    /// within their target time come first, then late ones in order.
     pub fn next(&mut self, route: &str, now: WallMs, may_run: impl Fn(&Envelope) -> bool) -> Option<String> {
         self.schedule.next(&mut self.owned, route, now, may_run)
     }
 
-    /// Routes with messages that may run.
+    /// Routes with waiting messages, due or not.
     pub fn routes(&self) -> impl Iterator<Item = &String> {
         self.schedule.routes()
     }
 
-    /// When the next message falls due that isn't yet.
+    /// When the next message that is not due yet becomes due.
     pub fn next_due(&self) -> Option<WallMs> {
         self.schedule.next_due()
     }
 
-    /// Waiting messages of a route that may run or become due.
+    /// Number of waiting messages of a route, due or not. Of messages with an ordering key, only the first of
+    /// each key counts.
     pub fn backlog(&self, route: &str) -> usize {
         self.schedule.backlog(route)
     }
 
-    /// A message goes to an endpoint.
+    /// Marks a message as being delivered to an endpoint. Returns it, or `None` if it is not waiting.
     pub fn start(&mut self, id: &str) -> Option<Message> {
         self.schedule.unschedule(&mut self.owned, id);
         let owned = self.owned.get_mut(id)?;
@@ -177,7 +184,8 @@
         owned.live_message().filter(|_| started).cloned()
     }
 
-    /// It did not end; it may be tried again from a time on.
+    /// Returns a running message to the waiting ones after a delivery that did not finish it. It is not
+    /// started again before `not_before`.
     pub fn retry(&mut self, id: &str, attempts: u32, not_before: WallMs) {
         let Some(owned) = self.owned.get_mut(id) else { return };
         if !owned.advance(Stage::Running, Stage::Waiting) {
@@ -188,7 +196,7 @@
         self.schedule.schedule_at_due(&mut self.owned, id);
     }
 
-    /// So many attempts of a message, or of a replica, have failed.
+    /// Records how many delivery attempts of a message, owned or held for another store, have failed.
     pub fn record_attempts(&mut self, id: &str, attempts: u32) {
         if let Some(owned) = self.owned.get_mut(id) {
             owned.attempts = owned.attempts.max(attempts);
@@ -197,7 +205,7 @@
         }
     }
 
-    /// A message has ended. False if it had already, or isn't known.
+    /// Records that a message has finished. Returns false if the message had finished before or is unknown.
     pub fn finish(&mut self, final_record: FinalRecord) -> bool {
         let id = final_record.id.clone();
         let Some(owned) = self.owned.get_mut(&id) else { return self.replicas.finish(final_record) };
@@ -211,8 +219,8 @@
         true
     }
 
-    /// Owns a message that has ended, in the place of the store that did: what is still owed of it is owed here. False if
-    /// it has ended here already, or nothing is owed of it.
+    /// Takes ownership of a finished message from the store that owned it, along with any pending callback.
+    /// Returns false if it had finished here already, or if nothing of it has to be retained.
     pub fn adopt_finished(&mut self, transfer: FinishedTransfer) -> bool {
         let id = transfer.finished.id().to_string();
         let callback_done = transfer.callback_done || self.replicas.is_callback_done(&id);
@@ -232,8 +240,9 @@
         true
     }
 
-    /// Leaves a message that hasn't begun to another store, and keeps a replica for those that count on one here; false if
-    /// it has begun, or isn't owned here.
+    /// Gives up ownership of a message that has not started, so that another store can own it. A replica
+    /// stays for the stores in [`OwnedMessage::replica_owners`]. Returns false if the message has started or
+    /// is not owned here.
     pub fn relinquish(&mut self, id: &str) -> bool {
         let stage = self.owned.get(id).and_then(OwnedMessage::stage);
         if !matches!(stage, Some(Stage::Replicating | Stage::Waiting)) {
@@ -250,30 +259,30 @@
         true
     }
 
-    /// Messages that are safe here, and that were given to a store before without a clear answer.
+    /// Messages accepted here that had also been sent to the store with this disk, whose answer was unclear.
     pub fn accepted_also_sent_to(&self, disk: u64) -> Vec<String> {
         let accepted = self.owned.values().filter(|owned| owned.stage() != Some(Stage::Replicating));
         let also_sent = accepted.filter(|owned| owned.envelope().also_sent_to.contains(&disk));
         also_sent.map(|owned| owned.id().to_string()).collect()
     }
 
-    /// A message that is owned here.
+    /// An owned message.
     pub fn owned(&self, id: &str) -> Option<&OwnedMessage> {
         self.owned.get(id)
     }
 
-    /// All messages that are owned here.
+    /// All owned messages.
     pub fn all_owned(&self) -> impl Iterator<Item = &OwnedMessage> {
         self.owned.values()
     }
 
-    /// A message with its body, whoever owns it, if that is kept here.
+    /// A message with its body, whoever owns it, if the body is present here.
     pub fn message(&self, id: &str) -> Option<&Message> {
         let owned = self.owned.get(id).and_then(OwnedMessage::message);
         owned.or_else(|| self.replicas.message(id))
     }
 
-    /// The body of a message that is owned here was damaged; this is the message as another store has it.
+    /// Replaces an owned message whose body is damaged by an intact copy from another store.
     pub fn replace_damaged(&mut self, message: Message) {
         if let Some(owned) = self.owned.get_mut(message.id()) {
             let before = owned.body_bytes();
@@ -282,23 +291,24 @@
         }
     }
 
-    /// A replica of a message is about to be sent to a disk. False if none may go out any more: the message has ended, or
-    /// isn't owned here. Whoever is sent one is told of the end later, so a replica that goes out after the end would be
-    /// one whose holder never hears of it.
+    /// Records that a replica is about to be sent to a disk. Returns false if it must not be sent, because
+    /// the message has finished or is not owned here. The holders to notify of the outcome are fixed when a
+    /// message finishes, so a replica sent later would never be notified.
     pub fn begin_copy(&mut self, id: &str, disk: u64) -> bool {
         let Some(owned) = self.owned.get_mut(id).filter(|owned| owned.is_live()) else { return false };
         owned.sent_to.insert(disk);
         true
     }
 
-    /// A message that has ended is about to be sent to a disk together with its end. False if it isn't owned here.
+    /// Records that a finished message is about to be sent to a disk. Returns false if it is not owned here,
+    /// or has not finished.
     pub fn begin_finished_copy(&mut self, id: &str, disk: u64) -> bool {
         let Some(owned) = self.owned.get_mut(id).filter(|owned| !owned.is_live()) else { return false };
         owned.sent_to.insert(disk);
         true
     }
 
-    /// A disk has a replica of a message.
+    /// Records that a disk holds a replica of a message.
     pub fn confirm_copy(&mut self, id: &str, disk: u64) {
         if let Some(owned) = self.owned.get_mut(id) {
             owned.confirmed_holders.insert(disk);
@@ -306,14 +316,15 @@
         }
     }
 
-    /// Replicas of a message count only at these disks.
+    /// Removes confirmed holders of a message that are no longer valid.
     pub fn retain_copies(&mut self, id: &str, is_valid: impl Fn(&u64) -> bool) {
         if let Some(owned) = self.owned.get_mut(id) {
             owned.confirmed_holders.retain(is_valid);
         }
     }
 
-    /// A disk holds only these of what is owned here: it has no replica of others, and needn't be told of their ends.
+    /// Records that, of the messages owned here, a disk holds only `held`: it has no replica of the others
+    /// and needs no notification of their outcomes.
     pub fn remove_unheld(&mut self, disk: u64, held: &HeldIds) {
         let is_held = |id: &str| held.live.contains(id) || held.finished.contains(id);
         for owned in self.owned.values_mut().filter(|owned| !is_held(owned.id())) {
@@ -322,7 +333,7 @@
         }
     }
 
-    /// A disk has been told of the ends of these messages.
+    /// Records that a disk was notified of the outcomes of these messages.
     pub fn mark_notified(&mut self, disk: u64, ids: &[String]) {
         for id in ids {
             if let Some(owned) = self.owned.get_mut(id) {
@@ -331,12 +342,13 @@
         }
     }
 
-    /// Messages that were left to other stores before this process started, as far as the log tells.
+    /// Takes the ids of messages that earlier processes relinquished to other stores, as far as the log goes
+    /// back.
     pub fn take_relinquished(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.relinquished)
     }
 
-    /// Whether a message is known here to have ended, whoever owns it.
+    /// Whether a message, owned or not, is known to have finished.
     pub fn is_finished(&self, id: &str) -> bool {
         match self.owned.get(id) {
             Some(owned) => !owned.is_live(),
@@ -344,7 +356,7 @@
         }
     }
 
-    /// The end of a message, whoever owns it.
+    /// The final record of a message, owned or not.
     pub fn final_record_of(&self, id: &str) -> Option<FinalRecord> {
         match self.owned.get(id) {
             Some(owned) => Some(owned.finished_message()?.final_record()),
@@ -352,37 +364,37 @@
         }
     }
 
-    /// Nothing is kept any more for the store with this disk.
+    /// Records that the store with this disk was declared lost. The callers keep nothing more for it.
     pub fn fence(&mut self, disk: u64) {
         self.fenced.insert(disk);
     }
 
-    /// All that a lost store owned is here.
+    /// Records that all messages of a lost store are now owned here.
     pub fn mark_taken_over(&mut self, disk: u64) {
         self.taken_over.insert(disk);
     }
 
-    /// Disks of lost stores that this one has taken over from.
+    /// Disks of lost stores whose messages this store has taken over.
     pub fn taken_over(&self) -> &BTreeSet<u64> {
         &self.taken_over
     }
 
-    /// Disks of stores for which nothing is kept any more.
+    /// Disks of stores that were declared lost, for which nothing more is kept.
     pub fn fenced(&self) -> &BTreeSet<u64> {
         &self.fenced
     }
 
-    /// Bytes of the bodies that are held.
+    /// Total size of all bodies, of owned messages and replicas.
     pub fn body_bytes(&self) -> usize {
         self.owned_bytes + self.replicas.bytes()
     }
 
-    /// When the oldest message was taken that has not ended.
+    /// When the oldest unfinished owned message was received.
     pub fn oldest_received_at(&self) -> Option<WallMs> {
         self.owned.values().filter(|owned| owned.is_live()).map(|owned| owned.envelope().received_at).min()
     }
 
-    /// How many messages there are.
+    /// Number of messages by state.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts { replicas: self.replicas.live_count(), ..Counts::default() };
         for owned in self.owned.values() {
@@ -395,7 +407,7 @@
         counts
     }
 
-    /// Messages that have not ended and whose route or time is over.
+    /// Unfinished owned messages that have expired or whose route no longer exists.
     pub fn expired_or_unroutable(
         &self,
         now: WallMs,
@@ -406,7 +418,8 @@
         ending.map(|owned| owned.id().to_string()).collect()
     }
 
-    /// Forgets ends older than a time, where nobody waits to be told of them.
+    /// Discards messages that finished before a time, except owned ones with a pending callback or with
+    /// holders that still have to be notified.
     pub fn discard_finished(&mut self, before: WallMs) {
         self.replicas.discard_finished(before);
         let (bytes, operations) = (&mut self.owned_bytes, &mut self.operations);
--- a/crates/queue/tests/queue.rs
+++ b/crates/queue/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a store: what runs next, what ends, and that a restart finds what the process knew.
+//! The queue of a store: the order in which messages run, how they finish, and recovery after a restart.
 use queue::replication;
 use queue::{
     Counts, Entry, Envelope, FinalRecord, FinishedMessage, FinishedTransfer, HeldIds, Message, Outcome,
@@ -41,7 +41,7 @@
     with_body(Envelope { callback: Some("http://10.0.0.1:1/".to_string()), ..envelope(id) })
 }
 
-fn take(queue: &mut Queue, message: Message) {
+fn accept(queue: &mut Queue, message: Message) {
     let id = message.id().to_string();
     assert!(queue.add(message));
     queue.mark_replicated(&id);
@@ -64,13 +64,13 @@
     FinishedTransfer { finished: FinishedMessage::new(message, final_record), callback_done }
 }
 
-/// The bytes that a queue has of a message, if it has them.
+/// The body of a message, if the queue has it.
 fn bytes_of(queue: &Queue, id: &str) -> Option<Vec<u8>> {
     queue.message(id).map(|message| message.verified_body().unwrap().to_vec())
 }
 
 #[test]
-fn a_message_runs_only_once_it_is_safe_and_due() {
+fn a_message_runs_only_once_it_is_replicated_and_due() {
     let mut queue = Queue::new(DISK);
     assert!(queue.add(message("a")));
     assert_eq!(next(&mut queue, 5_000), None, "not on a second disk yet");
@@ -83,11 +83,11 @@
 }
 
 #[test]
-fn messages_of_a_key_run_one_after_the_other_in_their_order() {
+fn messages_of_a_key_run_one_at_a_time_in_order() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, ordered("a", "k", 1));
-    take(&mut queue, ordered("b", "k", 2));
-    take(&mut queue, ordered("c", "other", 3));
+    accept(&mut queue, ordered("a", "k", 1));
+    accept(&mut queue, ordered("b", "k", 2));
+    accept(&mut queue, ordered("c", "other", 3));
     let first = next(&mut queue, 1_000).unwrap();
     queue.start(&first);
     let second = next(&mut queue, 1_000).unwrap();
@@ -95,7 +95,7 @@
     queue.start("c");
     assert_eq!(next(&mut queue, 1_000), None);
     queue.retry("a", 1, 1_200);
-    assert_eq!(next(&mut queue, 1_100), None, "the one before has not ended");
+    assert_eq!(next(&mut queue, 1_100), None, "the earlier message has not finished");
     assert_eq!(next(&mut queue, 1_200).as_deref(), Some("a"));
     queue.start("a");
     assert!(queue.finish(completed("a")));
@@ -103,11 +103,11 @@
 }
 
 #[test]
-fn what_is_inherited_takes_its_place_before_what_came_later() {
+fn messages_taken_over_run_before_later_ones_of_their_key() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, ordered("new", "k", 50));
-    take(&mut queue, ordered("old", "k", 3));
-    take(&mut queue, ordered("older", "k", 2));
+    accept(&mut queue, ordered("new", "k", 50));
+    accept(&mut queue, ordered("old", "k", 3));
+    accept(&mut queue, ordered("older", "k", 2));
     for expected in ["older", "old", "new"] {
         assert_eq!(next(&mut queue, 1_000).as_deref(), Some(expected));
         queue.start(expected);
@@ -116,65 +116,65 @@
 }
 
 #[test]
-fn what_has_begun_stays_first_of_its_key() {
+fn a_started_message_stays_first_of_its_key() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, ordered("b", "k", 2));
+    accept(&mut queue, ordered("b", "k", 2));
     queue.start("b");
-    take(&mut queue, ordered("a", "k", 1));
+    accept(&mut queue, ordered("a", "k", 1));
     assert_eq!(next(&mut queue, 1_000), None);
     queue.finish(completed("b"));
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("a"));
 }
 
 #[test]
-fn what_can_still_be_in_time_goes_before_what_is_late() {
+fn messages_that_can_start_on_time_run_before_late_ones() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("late"));
-    take(&mut queue, with_body(Envelope { due_at: 3_000, ..envelope("fresh") }));
+    accept(&mut queue, message("late"));
+    accept(&mut queue, with_body(Envelope { due_at: 3_000, ..envelope("fresh") }));
     assert_eq!(next(&mut queue, 3_100).as_deref(), Some("fresh"));
     queue.start("fresh");
     assert_eq!(next(&mut queue, 3_100).as_deref(), Some("late"));
 }
 
 #[test]
-fn a_line_with_fewer_late_ones_before_a_fresh_one_goes_first() {
+fn a_key_with_fewer_late_messages_before_one_on_time_runs_first() {
     let mut queue = Queue::new(DISK);
     for (sequence, id) in [(1, "a1"), (2, "a2")] {
-        take(&mut queue, ordered(id, "a", sequence));
+        accept(&mut queue, ordered(id, "a", sequence));
     }
-    take(&mut queue, ordered("b1", "b", 3));
-    take(&mut queue, with_body(Envelope { due_at: 3_000, ..ordered_envelope("a3", "a", 4) }));
-    take(&mut queue, with_body(Envelope { due_at: 3_000, ..ordered_envelope("b2", "b", 5) }));
+    accept(&mut queue, ordered("b1", "b", 3));
+    accept(&mut queue, with_body(Envelope { due_at: 3_000, ..ordered_envelope("a3", "a", 4) }));
+    accept(&mut queue, with_body(Envelope { due_at: 3_000, ..ordered_envelope("b2", "b", 5) }));
     assert_eq!(next(&mut queue, 3_100).as_deref(), Some("b1"));
 }
 
 #[test]
-fn nothing_waits_for_ever_behind_lines() {
+fn long_overdue_messages_do_not_starve_behind_keys() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("forgotten"));
-    take(&mut queue, ordered("a1", "a", 1));
-    take(&mut queue, with_body(Envelope { due_at: 9_000, ..ordered_envelope("a2", "a", 2) }));
-    assert_eq!(next(&mut queue, 9_100).as_deref(), Some("forgotten"));
+    accept(&mut queue, message("long overdue"));
+    accept(&mut queue, ordered("a1", "a", 1));
+    accept(&mut queue, with_body(Envelope { due_at: 9_000, ..ordered_envelope("a2", "a", 2) }));
+    assert_eq!(next(&mut queue, 9_100).as_deref(), Some("long overdue"));
 }
 
 #[test]
-fn an_ended_message_stays_ended() {
+fn a_finished_message_stays_finished() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("a"));
+    accept(&mut queue, message("a"));
     queue.start("a");
     assert!(queue.finish(completed("a")));
     assert!(!queue.finish(dead_lettered("a")));
     queue.retry("a", 0, 0);
     assert_eq!(next(&mut queue, 5_000), None);
-    assert!(!queue.add(message("a")), "the same id isn't taken again");
+    assert!(!queue.add(message("a")), "the same id is not accepted again");
     assert_eq!(queue.final_record_of("a"), Some(completed("a")));
 }
 
 #[test]
-fn a_message_left_to_another_store_is_gone_and_one_that_began_is_not_left() {
+fn a_relinquished_message_is_gone_and_a_started_one_is_not_relinquished() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("a"));
-    take(&mut queue, message("b"));
+    accept(&mut queue, message("a"));
+    accept(&mut queue, message("b"));
     queue.start("b");
     assert!(queue.relinquish("a"));
     assert!(!queue.relinquish("b"));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn only_what_is_safe_here_is_told_as_taken_from_another() {
+fn only_accepted_messages_are_reported_to_other_recipients() {
     let mut queue = Queue::new(DISK);
     queue.add(with_body(Envelope { also_sent_to: vec![9], ..envelope("a") }));
     assert!(queue.accepted_also_sent_to(9).is_empty());
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_copy_that_was_given_to_a_new_owner_isnt_dropped_for_the_old_one() {
+fn a_replica_held_for_a_new_owner_is_not_dropped_for_the_old_one() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(2, message("a"));
     queue.keep_replica(3, message("a"));
@@ -203,29 +203,29 @@
 }
 
 #[test]
-fn ends_are_forgotten_once_nobody_needs_them() {
+fn final_records_are_discarded_once_no_longer_needed() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, with_callback("owes"));
-    take(&mut queue, message("told"));
-    take(&mut queue, message("untold"));
-    queue.confirm_copy("untold", 5);
-    for id in ["owes", "told", "untold"] {
+    accept(&mut queue, with_callback("owes"));
+    accept(&mut queue, message("notified"));
+    accept(&mut queue, message("unnotified"));
+    queue.confirm_copy("unnotified", 5);
+    for id in ["owes", "notified", "unnotified"] {
         queue.finish(completed(id));
     }
     queue.discard_finished(2_001);
-    assert!(queue.owned("told").is_none());
-    assert!(queue.owned("owes").is_some() && queue.owned("untold").is_some());
+    assert!(queue.owned("notified").is_none());
+    assert!(queue.owned("owes").is_some() && queue.owned("unnotified").is_some());
 }
 
-/// The live queue and the one folded from the records agree, whatever happened.
+/// Guards against a recovered queue that differs from the running queue which wrote the records.
 #[test]
-fn a_restart_finds_what_the_process_knew() {
+fn a_restart_recovers_the_state_of_the_process() {
     let mut live = Queue::new(DISK);
     let mut records = vec![Entry::Disk(DISK)];
     for (i, id) in ["a", "b", "c", "d"].iter().enumerate() {
         let message = ordered(id, "k", i as u64);
         records.push(Entry::Message { owner: DISK, message: message.clone() });
-        take(&mut live, message);
+        accept(&mut live, message);
     }
     records.push(Entry::Message { owner: 2, message: message("copy") });
     live.keep_replica(2, message("copy"));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_recovered_message_counts_as_taken() {
+fn a_recovered_message_counts_as_accepted() {
     let mut queue = Queue::default();
     queue.replay(Entry::Disk(DISK));
     queue.replay(Entry::Message { owner: DISK, message: message("a") });
@@ -257,16 +257,16 @@
     assert_eq!(queue.owned("a").unwrap().stage(), Some(Stage::Waiting));
 }
 
-/// Both stores that were given a message lost power, and both ran it when they were back.
+/// Guards against running a message twice after both stores that received it lost power.
 #[test]
-fn a_recovered_message_that_another_store_was_given_waits_until_that_one_leaves_it() {
+fn a_recovered_message_also_sent_to_another_store_waits_until_that_store_relinquishes_it() {
     let mut queue = Queue::default();
     queue.replay(Entry::Disk(DISK));
-    let raced = with_body(Envelope { also_sent_to: vec![9], ..envelope("raced") });
-    queue.replay(Entry::Message { owner: DISK, message: raced });
+    let contested = with_body(Envelope { also_sent_to: vec![9], ..envelope("raced") });
+    queue.replay(Entry::Message { owner: DISK, message: contested });
     queue.replay(Entry::Message { owner: DISK, message: message("own") });
-    let raced = queue.finish_recovery();
-    assert_eq!(raced.iter().map(Message::id).collect::<Vec<_>>(), ["raced"]);
+    let contested = queue.finish_recovery();
+    assert_eq!(contested.iter().map(Message::id).collect::<Vec<_>>(), ["raced"]);
     assert_eq!(next(&mut queue, 1_000).as_deref(), Some("own"));
     queue.start("own");
     assert_eq!(next(&mut queue, 1_000), None);
@@ -275,11 +275,12 @@
     assert_eq!(queue.accepted_also_sent_to(9), ["raced"]);
 }
 
-/// A store that was to retire waited for ever: who had been told of an end after a reconnection was not noted.
+/// Guards against a retiring store that waits forever, because a holder that was notified after it
+/// reconnected was not recorded as notified.
 #[test]
-fn once_all_holders_were_told_of_an_end_nobody_is_waited_for() {
+fn a_finished_message_is_discarded_once_all_holders_were_notified() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("a"));
+    accept(&mut queue, message("a"));
     [5, 6].into_iter().for_each(|disk| assert!(queue.begin_copy("a", disk)));
     queue.finish(completed("a"));
     queue.mark_notified(5, &["a".to_string(), "unknown".to_string()]);
@@ -289,21 +290,22 @@
     assert!(queue.owned("a").is_none());
 }
 
-/// A fence that only memory knew let copies in again after a restart, from a store that was given up.
+/// Guards against a fence that is kept only in memory: after a restart, it would let in copies from a store
+/// that was declared lost.
 #[test]
-fn a_fence_outlasts_a_restart() {
+fn a_fence_survives_a_restart() {
     let mut queue = Queue::new(DISK);
     queue.replay(Entry::Disk(DISK));
-    queue.replay(Entry::Message { owner: 9, message: message("kept before") });
+    queue.replay(Entry::Message { owner: 9, message: message("held before") });
     queue.replay(Entry::Fenced { disk: 9 });
     assert!(queue.fenced().contains(&9));
-    // What was written before the fence, or anew by the ring's care, is still there for the heir.
-    queue.replay(Entry::Message { owner: 9, message: message("written anew") });
+    // Records from before the fence, and those rewritten by log compaction, stay available for the successor.
+    queue.replay(Entry::Message { owner: 9, message: message("rewritten") });
     assert_eq!(queue.replicas_of(9).count(), 2);
 }
 
 #[test]
-fn copies_are_told_piece_by_piece_in_the_order_of_their_ids() {
+fn replicas_are_listed_in_pages_ordered_by_id() {
     let mut queue = Queue::new(DISK);
     for id in ["c", "a", "d", "b", "e"] {
         queue.keep_replica(9, message(id));
@@ -320,7 +322,7 @@
 }
 
 #[test]
-fn the_ends_of_an_owners_messages_are_known_with_it() {
+fn final_records_are_kept_with_their_owner() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(9, message("a"));
     queue.keep_replica(8, message("b"));
@@ -335,12 +337,12 @@
     assert_eq!(queue.bare_final_records_of(9).count(), 0);
 }
 
-/// An end that a third store tells ends a copy here, and nothing that is owned here.
+/// Guards against an outcome from a third store that finishes an owned message: it applies to replicas only.
 #[test]
-fn an_end_from_a_third_store_is_for_copies_alone() {
+fn an_outcome_from_a_third_store_applies_to_replicas_only() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(9, message("copy"));
-    take(&mut queue, message("own"));
+    accept(&mut queue, message("own"));
     queue.keep_final_record(9, completed("copy"));
     queue.keep_final_record(9, completed("own"));
     assert!(queue.replica("copy").is_none() && queue.final_record_of("copy").is_some());
@@ -348,11 +350,12 @@
     assert_eq!(next(&mut queue, 5_000).as_deref(), Some("own"));
 }
 
-/// The cause of an incident: whoever got a copy after the end was never told of it.
+/// Guards against a replica that is sent after the message has finished: its holder would never be notified
+/// of the outcome.
 #[test]
-fn no_copy_goes_out_after_the_end_and_whoever_was_sent_one_is_told() {
+fn no_replica_is_sent_after_the_end_and_recipients_of_one_are_notified() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("a"));
+    accept(&mut queue, message("a"));
     assert!(queue.begin_copy("a", 5));
     queue.finish(completed("a"));
     assert!(!queue.begin_copy("a", 6));
@@ -360,11 +363,12 @@
     assert!(!queue.begin_copy("unknown", 5));
 }
 
-/// An edge gave a message to two stores: one of them kept it for the other too, and left it.
+/// An edge sent the message to two stores. This one holds a replica for the other store too, and must keep it
+/// when it relinquishes the message.
 #[test]
-fn a_message_that_is_left_stays_as_a_copy_for_whoever_counts_on_one() {
+fn a_relinquished_message_stays_as_a_replica_for_its_other_owners() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("a"));
+    accept(&mut queue, message("a"));
     queue.keep_replica(9, message("a"));
     assert_eq!(queue.held_for(9).live.len(), 1);
     assert!(queue.relinquish("a"));
@@ -375,7 +379,7 @@
 }
 
 #[test]
-fn a_copy_for_two_owners_goes_with_the_last_of_them() {
+fn a_replica_for_two_owners_is_dropped_with_the_last_of_them() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(8, message("a"));
     queue.keep_replica(9, message("a"));
@@ -385,9 +389,10 @@
     assert!(queue.replica("a").is_none());
 }
 
-/// A store that was taken away owed call-backs: who held its messages knows of them, and the heir makes them once.
+/// Guards against lost or repeated callbacks after a store was declared lost: the holders know of them, and
+/// the successor sends each one once.
 #[test]
-fn a_call_back_is_owed_by_holders_until_it_is_accepted() {
+fn holders_keep_a_pending_callback_until_it_is_accepted() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(9, with_callback("a"));
     queue.finish(completed("a"));
@@ -406,7 +411,7 @@
 }
 
 #[test]
-fn what_was_left_and_what_is_owed_are_known_after_a_restart() {
+fn relinquished_messages_and_pending_callbacks_are_recovered_after_a_restart() {
     let mut queue = Queue::new(DISK);
     let records = [
         Entry::Disk(DISK),
@@ -424,20 +429,20 @@
     assert!(queue.owned("owed").unwrap().callback_pending);
 }
 
-/// The cause of an incident: a holder let the body of a dead letter go, and its heir showed an empty one.
+/// Guards against a holder that discards the body of a dead letter: the successor would serve an empty one.
 #[test]
-fn a_dead_letter_keeps_its_body_from_owner_to_holder_to_heir() {
+fn a_dead_letter_keeps_its_body_from_owner_to_holder_to_successor() {
     for message in [message("a"), with_callback("a")] {
         let mut holder = Queue::new(DISK);
         holder.keep_replica(9, message.clone());
         holder.finish(dead_lettered("a"));
-        assert_eq!(bytes_of(&holder, "a").as_deref(), Some(&BODY[..]), "a holder shows it");
+        assert_eq!(bytes_of(&holder, "a").as_deref(), Some(&BODY[..]), "a holder can serve it");
         let transfer: Vec<FinishedTransfer> = holder.finished_after(9, "").collect();
-        let mut heir = Queue::new(2);
-        let (entries, new) = replication::adopt_finished(&mut heir, transfer);
+        let mut successor = Queue::new(2);
+        let (entries, new) = replication::adopt_finished(&mut successor, transfer);
         assert_eq!((entries.len(), new.len()), (1, 1), "the message and its end are one record");
-        assert_eq!(bytes_of(&heir, "a").as_deref(), Some(&BODY[..]));
-        assert_eq!(heir.owned("a").unwrap().callback_pending, message.envelope.callback.is_some());
+        assert_eq!(bytes_of(&successor, "a").as_deref(), Some(&BODY[..]));
+        assert_eq!(successor.owned("a").unwrap().callback_pending, message.envelope.callback.is_some());
 
         let mut restarted = Queue::new(2);
         entries.into_iter().for_each(|entry| restarted.replay(entry));
@@ -448,29 +453,29 @@
 }
 
 #[test]
-fn a_dead_letter_whose_call_back_was_accepted_keeps_its_body_and_isnt_called_back_again() {
+fn a_dead_letter_keeps_its_body_after_its_callback_and_is_not_called_back_again() {
     let mut holder = Queue::new(DISK);
     holder.keep_replica(9, with_callback("a"));
     holder.finish(dead_lettered("a"));
     holder.mark_callback_done("a");
     let transfer: Vec<FinishedTransfer> = holder.finished_after(9, "").collect();
-    let mut heir = Queue::new(2);
-    replication::adopt_finished(&mut heir, transfer);
-    assert_eq!(bytes_of(&heir, "a").as_deref(), Some(&BODY[..]));
-    assert!(!heir.owned("a").unwrap().callback_pending);
+    let mut successor = Queue::new(2);
+    replication::adopt_finished(&mut successor, transfer);
+    assert_eq!(bytes_of(&successor, "a").as_deref(), Some(&BODY[..]));
+    assert!(!successor.owned("a").unwrap().callback_pending);
 }
 
 #[test]
 fn a_completed_message_has_no_body_anywhere() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(9, with_callback("kept"));
-    take(&mut queue, message("own"));
+    accept(&mut queue, message("own"));
     assert!(queue.finish(completed("kept")) && queue.finish(completed("own")));
     assert_eq!((bytes_of(&queue, "kept"), bytes_of(&queue, "own")), (None, None));
     assert_eq!(queue.body_bytes(), 0);
 }
 
-/// An empty body is one that a client sent, and is kept like any other.
+/// Guards against treating an empty body, which a client may send, as a missing one.
 #[test]
 fn an_empty_body_is_not_a_missing_one() {
     let mut queue = Queue::new(DISK);
@@ -479,13 +484,14 @@
     assert_eq!(bytes_of(&queue, "a"), Some(Vec::new()));
 }
 
-/// Whatever the log wrote anew tells the same as what it wrote first, in either order.
+/// Guards against compacted records that describe another state than the original ones, in any order and when
+/// repeated.
 #[test]
-fn records_written_anew_tell_what_the_first_ones_told() {
+fn compacted_records_describe_the_same_state_as_the_original_ones() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("live"));
-    take(&mut queue, with_callback("owing"));
-    take(&mut queue, message("dead"));
+    accept(&mut queue, message("live"));
+    accept(&mut queue, with_callback("owing"));
+    accept(&mut queue, message("dead"));
     queue.keep_replica(9, message("replica"));
     queue.keep_replica(9, with_callback("dead replica"));
     queue.keep_replica(9, message("completed replica"));
@@ -499,10 +505,10 @@
     }
     queue.mark_callback_done("dead replica");
     let ids = ["live", "owing", "dead", "replica", "dead replica", "completed replica"];
-    let again: Vec<Entry> = ids.iter().flat_map(|id| replication::current_entries(&queue, id)).collect();
-    let twice: Vec<Entry> = again.iter().chain(&again).cloned().collect();
-    let reversed: Vec<Entry> = again.iter().rev().cloned().collect();
-    for records in [again, twice, reversed] {
+    let compacted: Vec<Entry> = ids.iter().flat_map(|id| replication::current_entries(&queue, id)).collect();
+    let twice: Vec<Entry> = compacted.iter().chain(&compacted).cloned().collect();
+    let reversed: Vec<Entry> = compacted.iter().rev().cloned().collect();
+    for records in [compacted, twice, reversed] {
         let mut restarted = Queue::new(DISK);
         records.into_iter().for_each(|record| restarted.replay(record));
         restarted.finish_recovery();
@@ -520,11 +526,11 @@
     }
 }
 
-/// A message that ended at a store which lost power before its end was written is ended by what a holder knows.
+/// A store may lose power before it has written that a message finished. It learns the outcome from a holder.
 #[test]
-fn an_owner_learns_from_a_holder_what_it_holds_and_what_has_ended() {
+fn an_owner_learns_from_a_holder_what_it_holds_and_what_has_finished() {
     let mut queue = Queue::new(DISK);
-    ["live", "dead", "ended there", "gone"].into_iter().for_each(|id| take(&mut queue, message(id)));
+    ["live", "dead", "ended there", "gone"].into_iter().for_each(|id| accept(&mut queue, message(id)));
     ["live", "dead", "gone"].into_iter().for_each(|id| queue.confirm_copy(id, 5));
     queue.finish(dead_lettered("dead"));
     let ids = |ids: &[&str]| ids.iter().map(ToString::to_string).collect::<BTreeSet<String>>();
@@ -539,11 +545,11 @@
 }
 
 #[test]
-fn dead_letters_and_owed_call_backs_lack_copies_like_messages_that_have_not_ended() {
+fn dead_letters_and_pending_callbacks_are_replicated_like_unfinished_messages() {
     let mut queue = Queue::new(DISK);
-    take(&mut queue, message("dead"));
-    take(&mut queue, with_callback("owing"));
-    take(&mut queue, message("completed"));
+    accept(&mut queue, message("dead"));
+    accept(&mut queue, with_callback("owing"));
+    accept(&mut queue, message("completed"));
     for final_record in [dead_lettered("dead"), completed("owing"), completed("completed")] {
         assert!(queue.finish(final_record));
     }
@@ -560,9 +566,9 @@
     assert!(lacking(&queue).is_empty());
 }
 
-/// What is kept for an owner that is away is made whole elsewhere, dead letters with their bodies.
+/// Guards against incomplete replication for an absent owner: dead letters have to keep their bodies.
 #[test]
-fn what_is_kept_for_an_absent_owner_is_made_whole_with_its_bodies() {
+fn messages_of_an_absent_owner_are_fully_replicated_with_their_bodies() {
     let mut holder = Queue::new(DISK);
     holder.keep_replica(9, message("live"));
     holder.keep_replica(9, message("dead"));
@@ -577,17 +583,17 @@
     );
     let mut other = Queue::new(2);
     assert_eq!(&replication::missing_ids(&other, 9, ids), ids);
-    let preserved = replication::ReplicaBatch {
+    let batch = replication::ReplicaBatch {
         live: holder.replicas_of(9).map(Into::into).collect(),
         finished: holder.finished_after(9, "").collect(),
         final_records: vec![completed("completed")],
     };
-    replication::keep_replica_batch(&mut other, &mut replication::AbsenceTracker::default(), 9, preserved);
+    replication::keep_replica_batch(&mut other, &mut replication::AbsenceTracker::default(), 9, batch);
     assert_eq!(replication::missing_ids(&other, 9, ids), replication::MessageIds::default());
     assert_eq!(bytes_of(&other, "dead").as_deref(), Some(&BODY[..]));
-    let of_given_up = replication::replication_targets(&holder, 9, true, &placement);
+    let of_lost_owner = replication::replication_targets(&holder, 9, true, &placement);
     assert_eq!(
-        of_given_up[&2],
+        of_lost_owner[&2],
         replication::MessageIds {
             final_records: vec!["completed".to_string()],
             ..replication::MessageIds::default()
@@ -596,40 +602,40 @@
 }
 
 #[test]
-fn what_a_holder_kept_for_one_owner_alone_goes_with_it_but_for_the_end() {
+fn only_the_final_record_stays_once_nothing_is_held_for_any_owner() {
     let mut queue = Queue::new(DISK);
     queue.keep_replica(9, message("a"));
     queue.finish(dead_lettered("a"));
     queue.keep_finished(8, finished_transfer(message("a"), dead_lettered("a")));
     queue.drop_replica(9, "a");
-    assert_eq!(bytes_of(&queue, "a").as_deref(), Some(&BODY[..]), "it is kept for the other");
+    assert_eq!(bytes_of(&queue, "a").as_deref(), Some(&BODY[..]), "it is held for the other owner");
     queue.drop_replica(8, "a");
     assert_eq!((bytes_of(&queue, "a"), queue.final_record_of("a")), (None, Some(dead_lettered("a"))));
     assert_eq!(queue.body_bytes(), 0);
 }
 
 #[test]
-fn what_is_held_for_a_store_is_told_piece_by_piece() {
+fn ids_held_for_a_store_are_listed_in_pages() {
     let mut queue = Queue::new(DISK);
     ["b", "d", "e"].into_iter().for_each(|id| queue.keep_replica(9, message(id)));
     ["a", "c"]
         .into_iter()
         .for_each(|id| queue.keep_finished(9, finished_transfer(message(id), dead_lettered(id))));
-    let (mut after, mut seen) = (String::new(), Vec::new());
+    let (mut after, mut pages) = (String::new(), Vec::new());
     loop {
-        let (piece, more) = queue.held_for(9).page_after(&after, 2);
-        after = piece.last().cloned().unwrap_or_default();
-        seen.push((piece.live.len(), piece.finished.len(), more));
+        let (page, more) = queue.held_for(9).page_after(&after, 2);
+        after = page.last().cloned().unwrap_or_default();
+        pages.push((page.live.len(), page.finished.len(), more));
         if !more {
             break;
         }
     }
-    assert_eq!(seen, [(1, 1, true), (1, 1, true), (1, 0, false)]);
+    assert_eq!(pages, [(1, 1, true), (1, 1, true), (1, 0, false)]);
 }
 
-/// Bytes that aren't those that were taken can't be read as the message's: neither changed ones nor another message's.
+/// Guards against reading a body that was altered, or that belongs to another message.
 #[test]
-fn a_body_is_read_only_as_what_was_taken_for_its_message() {
+fn a_body_can_only_be_read_as_that_of_its_message() {
     let sound = message("a");
     assert_eq!(sound.verified_body(), Ok(&BODY[..]));
     let mut bytes = borsh::to_vec(&sound).unwrap();
@@ -637,14 +643,14 @@
     let damaged: Message = borsh::from_slice(&bytes).unwrap();
     let error = damaged.verified_body().unwrap_err();
     assert!(error.to_string().contains("message a (10 bytes here)"), "{error}");
-    assert!(message("b").body.verified("a").is_err(), "the same bytes, taken for another message");
+    assert!(message("b").body.verified("a").is_err(), "the same bytes, but of another message");
     assert!(Message::new(envelope("a"), Vec::new()).body.verified("b").is_err());
 }
 
 #[test]
-fn counts_tell_messages_by_what_becomes_of_them() {
+fn counts_are_by_state() {
     let mut queue = Queue::new(DISK);
-    ["a", "b", "c"].into_iter().for_each(|id| take(&mut queue, message(id)));
+    ["a", "b", "c"].into_iter().for_each(|id| accept(&mut queue, message(id)));
     queue.start("a");
     queue.finish(completed("b"));
     queue.keep_replica(9, message("d"));
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,13 +1,15 @@
-//! A token bucket whose limit may change, and that takes back tokens which were not used.
+//! A token bucket whose limit may change, and to which unused tokens can be returned.
 use crate::Ms;
 
-/// Tokens that were taken within the last one to two such spans may be given back.
+/// Length of the windows in which taken tokens are counted. Tokens may be returned for one to two windows.
 pub const RETURN_WINDOW_MS: Ms = 100;
 
 /// How fast a bucket fills, and how many tokens it holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
+    /// Fill rate.
     pub tokens_per_s: f64,
+    /// Largest number of tokens held.
     pub depth: f64,
 }
 
@@ -17,7 +19,7 @@
     }
 }
 
-/// Tokens that were taken in one [`RETURN_SPAN`] and not given back.
+/// Tokens that were taken within one [`RETURN_WINDOW_MS`] and not returned.
 #[derive(Clone, Copy, Debug, Default)]
 struct TakenInWindow {
     window: Ms,
@@ -35,13 +37,13 @@
 }
 
 impl Bucket {
-    /// An empty bucket that begins to fill at a time, which may be to come.
+    /// An empty bucket that starts to fill at `fills_from`, which may be in the future.
     pub fn new(limit: Limit, fills_from: Ms) -> Bucket {
         let (current_window, previous_window) = (TakenInWindow::default(), TakenInWindow::default());
         Bucket { limit, tokens: 0.0, filled_at: fills_from, current_window, previous_window }
     }
 
-    /// Takes up to so many tokens; how many there were.
+    /// Takes up to `wanted` tokens and returns how many were available.
     pub fn take(&mut self, limit: Limit, wanted: u64, now: Ms) -> u64 {
         self.fill(limit, now);
         let taken = (self.tokens.floor() as u64).min(wanted);
@@ -50,8 +52,8 @@
         taken
     }
 
-    /// Takes back tokens that were taken at a time and not used. Of those that were taken too long ago, nothing is taken
-    /// back: the bucket may have been full meanwhile, and would hold more than if they never had been taken.
+    /// Returns unused tokens that were taken at `taken_at`. Tokens taken too long ago are discarded: the
+    /// bucket may have been full in the meantime and would then hold more than if they had never been taken.
     pub fn return_tokens(&mut self, limit: Limit, tokens: u64, taken_at: Ms, now: Ms) {
         self.fill(limit, now);
         if taken_at > now || now - taken_at > RETURN_WINDOW_MS {
@@ -66,33 +68,35 @@
         self.tokens = (self.tokens + returned as f64).min(limit.depth);
     }
 
-    /// Milliseconds until there is a token.
+    /// Milliseconds until a token is available.
     pub fn ms_until_token(&self, now: Ms) -> Ms {
         let missing = (1.0 - self.tokens).max(0.0);
         let filling = (missing / self.limit.tokens_per_s * 1_000.0).ceil().min(f64::from(u32::MAX)) as Ms;
         filling + self.filled_at.saturating_sub(now)
     }
 
-    /// The share of the depth that is used up.
+    /// The used share of the depth.
     pub fn used_share(&mut self, limit: Limit, now: Ms) -> f64 {
         self.fill(limit, now);
         1.0 - self.tokens / limit.depth
     }
 
-    /// Nothing would be lost by forgetting it: it is full, and no token can come back.
+    /// Whether the bucket is full and no token can be returned, so that it can be discarded without loss.
     pub fn is_idle(&mut self, limit: Limit, now: Ms) -> bool {
         self.fill(limit, now);
         self.tokens >= limit.depth && self.current_window.tokens + self.previous_window.tokens == 0
     }
 
-    /// Fills by the lower of the rates before and now, so that a raise doesn't count for the time before it was known.
+    /// Fills at the lower of the old and the new rate, so that an increase does not apply to the time before
+    /// it was known.
     fn fill(&mut self, limit: Limit, now: Ms) {
         self.advance_window(now);
         let rate = self.limit.tokens_per_s.min(limit.tokens_per_s);
         let passed = now.saturating_sub(self.filled_at);
         let filled = self.tokens + Limit { tokens_per_s: rate, ..limit }.filled_in(passed);
         let outstanding = (self.current_window.tokens + self.previous_window.tokens) as f64;
-        // Tokens that may still come back leave no room for as many new ones, but for those of their own time.
+        // Outstanding tokens may still be returned and take up room; what is filled in during the two windows
+        // does not count against that.
         let room = limit.depth + limit.filled_in(2 * RETURN_WINDOW_MS) - outstanding;
         self.tokens = filled.min(room.max(self.tokens)).min(limit.depth);
         self.filled_at = self.filled_at.max(now);
--- a/crates/quota/src/counters.rs
+++ b/crates/quota/src/counters.rs
@@ -1,14 +1,16 @@
-//! Which stores count for a tenant: the owners of a few partitions in a row, the first by a digest of the tenant. They are
-//! the same on every machine, and change only with the owners: a store that is added displaces none.
+//! Selects the counters of a tenant: the owners of consecutive partitions, starting at a digest of the tenant
+//! name. The selection is the same on every machine and changes only with the owners of partitions: a newly
+//! added store displaces none.
 use crate::bucket::Limit;
 use settings::Quota;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// So many stores count for a tenant, where there are as many.
+/// Number of stores that count for a tenant, if there are that many.
 pub const COUNTERS_PER_TENANT: usize = 5;
-/// A bucket holds at least what fills it in so long: with less, tokens are lost between two calls.
+/// A bucket holds at least what fills it in this time, in seconds; with less, tokens would be lost between
+/// two calls.
 const MIN_DEPTH_S: f64 = 0.1;
-/// And at least so many tokens.
+/// Minimum depth of a bucket.
 const MIN_DEPTH_TOKENS: f64 = 2.0;
 
 /// The stores that count for one tenant, by their disks.
@@ -18,7 +20,7 @@
 }
 
 impl Counters {
-    /// Those that count for a tenant, by the disks of the owners of all partitions.
+    /// The counters of a tenant, given the disks of the owners of all partitions.
     pub fn for_tenant(tenant: &str, owners: impl IntoIterator<Item = u64>) -> Counters {
         let owners: Vec<u64> = owners.into_iter().collect();
         let first = xxh3_64(tenant.as_bytes()) as usize % owners.len().max(1);
@@ -32,28 +34,28 @@
         Counters { disks }
     }
 
-    /// Their disks, in order.
+    /// Disks of the counters, in ascending order.
     pub fn disks(&self) -> &[u64] {
         &self.disks
     }
 
-    /// Whether a disk's store counts.
+    /// Whether the store with this disk is a counter.
     pub fn contains(&self, disk: u64) -> bool {
         self.disks.contains(&disk)
     }
 
-    /// So many of them have to give a token for one message: any two such sets share a counter.
+    /// Number of counters that have to grant a token for one message. Any two quorums share a counter.
     pub fn quorum(&self) -> usize {
         self.disks.len() / 2 + 1
     }
 
-    /// The same for the same set alone.
+    /// A digest that identifies this set of counters.
     pub fn digest(&self) -> u64 {
         let bytes: Vec<u8> = self.disks.iter().flat_map(|disk| disk.to_le_bytes()).collect();
         xxh3_64(&bytes)
     }
 
-    /// The limit of each bucket, so that all together can't grant more messages than the quota.
+    /// The limit of each bucket, such that all counters together cannot grant more messages than the quota.
     pub fn bucket_limit(&self, quota: Quota) -> Limit {
         let share = self.quorum() as f64 / self.disks.len().max(1) as f64;
         let tokens_per_s = quota.rate_per_s * share;
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What one counting store holds: a bucket for each tenant that it counts for, in memory.
+//! The buckets of one counter, in memory: one for each tenant that it counts for.
 //!
-//! Two sets of counters must never grant at once, or a tenant would have two quotas. So a store counts only while it heard
-//! lately which stores there are, and one that is new to a tenant begins only when all others have heard of it, or
-//! have stopped counting.
+//! Two sets of counters must never grant tokens at the same time, or a tenant would have its quota twice.
+//! Therefore a store counts only while it has recently confirmed the list of stores, and a new counter of a
+//! tenant starts only when every other store knows of it or has stopped counting.
 use crate::bucket::{Bucket, Limit};
 use crate::counters::Counters;
 use crate::Ms;
@@ -10,72 +10,77 @@
 use settings::Quota;
 use std::collections::BTreeMap;
 
-/// A store that heard nothing of the control group for so long doesn't count any more.
+/// A store that has not confirmed the list of stores with the control group for this long stops counting.
 pub const MEMBERSHIP_VALID_MS: Ms = 6_000;
-/// A counter that is new to a tenant begins after so long: when those that don't know of it have stopped, and a primary of
-/// the control group that is none any more has noticed.
+/// Delay before a new counter of a tenant starts: by then the counters that do not know of it have stopped,
+/// and a former primary of the control group has noticed that it was replaced.
 pub const NEW_COUNTER_DELAY_MS: Ms = 7_500;
 
-/// A caller asks for tokens of one tenant.
+/// A request for tokens of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TokenRequest {
     pub tenant: String,
-    /// The digest of the set of counters by which the caller reckons.
+    /// Digest of the set of counters that the caller uses, see [`Counters::digest`].
     pub counters_digest: u64,
+    /// Number of tokens requested.
     pub tokens: u32,
 }
 
-/// When, and in which life of the counter's process, tokens were taken.
+/// When tokens were taken, and in which incarnation of the counter's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TokenStamp {
+    /// Unique number of the process that granted the tokens.
     pub incarnation: u64,
+    /// Time of the counter's clock at which they were taken.
     pub taken_at: Ms,
 }
 
-/// A caller gives back tokens that no message used.
+/// Returns tokens that no message used.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TokenReturn {
     pub tenant: String,
     pub tokens: u32,
+    /// The stamp with which the tokens were granted.
     pub stamp: TokenStamp,
 }
 
-/// A counter's answer to a [`Want`].
+/// The answer of a counter to a [`TokenRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum TokenResponse {
-    /// So many tokens were taken; if fewer than were wanted, the next one is there in `short_ms`.
+    /// Some tokens were taken. If there were fewer than requested, the next one is available in
+    /// `next_token_ms`. `above_half` tells whether the bucket is more than half full.
     Granted { tokens: u32, stamp: TokenStamp, next_token_ms: u32, above_half: bool },
-    /// The tenant has no limit by the counter's configuration, which is newer.
+    /// The tenant has no limit in the configuration of the counter, which is newer than that of the caller.
     NoLimit,
-    /// The caller reckons by other counters, or this one doesn't know the tenant, or hasn't heard of the control
-    /// group lately: it doesn't count.
+    /// No tokens: the caller uses other counters, the tenant is unknown here, or this store has not confirmed
+    /// the list of stores recently.
     NotCounting,
 }
 
-/// How much of its quota a tenant uses, at one counter.
+/// How much of its quota a tenant uses at one counter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantUsage {
     pub tenant: String,
-    /// The share of the bucket that is used up.
+    /// The used share of the bucket.
     pub used_share: f64,
-    /// Tokens that were refused since the start.
+    /// Number of tokens refused since the start of the process.
     pub refused: u64,
 }
 
-/// A tenant's limit, as the counter's configuration has it.
+/// The limit of a tenant in the configuration of the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TenantLimit {
     Limited(Quota),
     Unlimited,
-    /// No such tenant.
+    /// The configuration has no such tenant.
     Unknown,
 }
 
-/// The disks of the active stores.
+/// The active stores as of one update.
 #[derive(Clone, Debug)]
 struct Members {
     disks: Vec<u64>,
-    /// From then on those that are new among them count.
+    /// The stores that are new in this update count from this time on.
     begins_at: Ms,
 }
 
@@ -85,14 +90,15 @@
     limit: Limit,
 }
 
-/// The buckets of one counting store.
+/// The buckets of one counter.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     disk: u64,
     incarnation: u64,
-    /// An earlier process on this disk was a store: it isn't new among the first ones that it hears of.
+    /// An earlier process on this disk was a store already, so this store counts at once after its first
+    /// update.
     resumed_process: bool,
-    /// What was heard of the stores, as far back as it matters; the last is in force.
+    /// Updates of the list of stores, as far back as they matter. The last one is in force.
     members: Vec<Members>,
     members_confirmed_at: Option<Ms>,
     accounts: BTreeMap<String, Account>,
@@ -100,7 +106,7 @@
 }
 
 impl Ledger {
-    /// The ledger of the store of a disk; `life` is a number that no other process has.
+    /// The ledger of the store with this disk; `incarnation` is a number that no other process uses.
     pub fn new(disk: u64, incarnation: u64) -> Ledger {
         let (members, accounts, refused) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
         Ledger {
@@ -114,13 +120,13 @@
         }
     }
 
-    /// The same after a restart of the process: what it granted before isn't known, so its buckets are empty, but the other
-    /// stores reckon with it already.
+    /// The ledger after a restart of the process. Its buckets are empty, because the tokens granted earlier
+    /// are unknown, but the other stores already use it as a counter.
     pub fn resumed(disk: u64, incarnation: u64) -> Ledger {
         Ledger { resumed_process: true, ..Ledger::new(disk, incarnation) }
     }
 
-    /// The control group answered a question that was asked at a time: these are the active stores.
+    /// Updates the list of active stores with an answer of the control group to a request sent at `asked_at`.
     pub fn update_members(&mut self, disks: &[u64], asked_at: Ms, now: Ms) {
         self.members_confirmed_at = self.members_confirmed_at.max(Some(asked_at));
         if self.members.last().is_some_and(|members| members.disks == disks) {
@@ -136,12 +142,12 @@
         self.accounts.retain(|tenant, _| kept.contains(tenant));
     }
 
-    /// The disks of the active stores, by what this store has heard.
+    /// Disks of the active stores, as of the last update.
     pub fn members(&self) -> &[u64] {
         self.members.last().map_or(&[], |members| &members.disks)
     }
 
-    /// The counters of a tenant, by what this store has heard.
+    /// The counters of a tenant, as of the last update.
     pub fn counters(&self, tenant: &str) -> Counters {
         Counters::for_tenant(tenant, self.members().iter().copied())
     }
@@ -150,12 +156,13 @@
         Counters::for_tenant(tenant, members.disks.iter().copied()).contains(self.disk)
     }
 
-    /// Whether this store counts for a tenant and did before the last change of the stores.
+    /// Whether this store is a counter of a tenant both before and after the last change of the list of
+    /// stores.
     fn was_counter_before(&self, tenant: &str) -> bool {
         self.members.iter().rev().take(2).all(|members| self.counts_among(tenant, members))
     }
 
-    /// From when on it may count for a tenant.
+    /// When this store may start to count for a tenant.
     fn begins_at(&self, tenant: &str) -> Option<Ms> {
         let counted = self.members.iter().rev().take_while(|members| self.counts_among(tenant, members));
         counted.last().map(|members| members.begins_at)
@@ -205,7 +212,7 @@
         }
     }
 
-    /// Takes back tokens that were not used.
+    /// Puts unused tokens back into the bucket, if this process granted them.
     pub fn return_tokens(&mut self, returned: &TokenReturn, now: Ms) {
         if returned.stamp.incarnation != self.incarnation {
             return;
@@ -220,12 +227,12 @@
         }
     }
 
-    /// Forgets full buckets of which nothing is owed: a new one would be as full. One that isn't is kept.
+    /// Discards full buckets to which no token can be returned: a bucket created later would be as full.
     pub fn remove_idle(&mut self, now: Ms) {
         self.accounts.retain(|_, account| !account.bucket.is_idle(account.limit, now));
     }
 
-    /// How many tenants have a bucket.
+    /// Number of tenants with a bucket.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
@@ -235,7 +242,7 @@
         self.accounts.is_empty()
     }
 
-    /// Tenants that use up at least such a share of their buckets.
+    /// Tenants that use at least this share of their buckets.
     pub fn near_limit(&mut self, threshold: f64, now: Ms) -> Vec<TenantUsage> {
         let refused = &self.refused;
         let used = self.accounts.iter_mut().map(|(tenant, account)| TenantUsage {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,14 +1,15 @@
-//! Quotas of tenants, counted by several stores at once. No I/O and no clock: times are passed in.
+//! Tenant quotas, counted by several stores at once. It does no I/O and reads no clock: times are passed in.
 //!
-//! For each tenant up to three stores count ([`Counters`]), each with a token bucket ([`Bucket`]) in its [`Ledger`]. A message
-//! needs one token of a quorum of them ([`QuorumRequest`]).
+//! For each tenant up to [`COUNTERS_PER_TENANT`] stores are counters ([`Counters`]), each with a token bucket
+//! ([`Bucket`]) in its [`Ledger`]. A message needs one token from each counter of a quorum
+//! ([`QuorumRequest`]).
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
 //! | [`bucket`] | a token bucket whose limit may change |
-//! | [`counters`] | which stores count for a tenant, and the limit of each |
-//! | [`ledger`] | what one counting store holds, and how it answers |
-//! | [`quorum`] | one message's way to a quorum of tokens |
+//! | [`counters`] | which stores are counters of a tenant, and the limit of each |
+//! | [`ledger`] | the buckets of one counter, and how it answers requests |
+//! | [`quorum`] | the request of one message for tokens from a quorum |
 pub mod bucket;
 pub mod counters;
 pub mod ledger;
@@ -19,5 +20,5 @@
 pub use ledger::{Ledger, TenantUsage, TokenRequest, TokenResponse, TokenReturn, TokenStamp};
 pub use quorum::{Denial, Progress, QuorumRequest};
 
-/// Milliseconds on a clock that only rises.
+/// Milliseconds of a monotonic clock.
 pub type Ms = u64;
--- a/crates/quota/src/quorum.rs
+++ b/crates/quota/src/quorum.rs
@@ -1,33 +1,34 @@
-//! One message's way to a quorum of tokens: whom to ask next, when it is granted or refused, and what is given back.
+//! The request of one message for tokens from a quorum of counters: whom to ask next, whether it is granted
+//! or denied, and which tokens to return.
 use crate::counters::Counters;
 use crate::ledger::TokenStamp;
 use crate::Ms;
 
-/// The tenant is refused at the caller for at most so long after a counter was short.
+/// Longest time for which a caller refuses a tenant without asking, after a counter had no token.
 pub const MAX_LOCAL_REFUSAL_MS: Ms = 50;
 
-/// What one counter said to one message.
+/// The reply of one counter to one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterReply {
     Token(TokenStamp),
-    /// There is none for so many milliseconds.
+    /// No token is available for this many milliseconds.
     Exhausted(u32),
-    /// The counter knows that the tenant has no limit.
+    /// The tenant has no limit, as far as the counter knows.
     NoLimit,
-    /// It doesn't count, or can't be reached.
+    /// The counter does not count for the tenant or is unreachable.
     Unavailable,
 }
 
-/// Why a message isn't granted.
+/// Why a message is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The quota is spent; the tenant may be refused without asking for so many milliseconds.
+    /// The quota is used up. The tenant may be refused without asking for this time.
     OverQuota { refuse_for_ms: Ms },
-    /// Too few counters answer.
+    /// Too few counters answered.
     QuorumUnavailable,
 }
 
-/// Where a message stands.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     Pending,
@@ -35,27 +36,27 @@
     Denied(Denial),
 }
 
-/// A token that a counter gave.
+/// A token that a counter granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     pub disk: u64,
     pub stamp: TokenStamp,
 }
 
-/// One message that is to be counted.
+/// The request of one message.
 #[derive(Clone, Debug)]
 pub struct QuorumRequest {
     quorum: usize,
-    /// Counters that were not asked yet, the next one last.
+    /// Counters not asked yet; the next one is the last element.
     unasked: Vec<Candidate>,
-    /// Asked, without an answer.
+    /// Counters that were asked and have not answered.
     pending: Vec<u64>,
-    /// Of these, those that are late: another one was asked in their place.
+    /// The pending counters that are late: others were asked in their place.
     late: Vec<u64>,
     tokens: Vec<Token>,
-    /// Counters that have no limit to count by.
+    /// Number of counters without a limit for the tenant.
     unlimited: usize,
-    /// The shortest time for which a counter is short.
+    /// The shortest wait for a token among the replies without one.
     exhausted_ms: Option<u32>,
 }
 
@@ -63,16 +64,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub disk: u64,
-    /// It didn't answer when it was asked last.
+    /// It did not answer the last request.
     pub unresponsive: bool,
-    /// Its bucket was more than half full when it was asked last.
+    /// Its bucket was more than half full at the last request.
     pub above_half: bool,
-    /// How far away it is.
+    /// Relative distance from the caller.
     pub distance: u32,
 }
 
-/// The counters in the order in which they are asked. Near ones come first as long as all have plenty; else it is each
-/// one's turn: a counter that is seldom asked leaves its part of the quota unused.
+/// Sorts counters into the order in which they are asked. As long as all buckets are more than half full,
+/// near counters come first. Otherwise the counters take turns, because one that is seldom asked would leave
+/// its part of the quota unused.
 pub fn ask_order(mut candidates: Vec<Candidate>, rotation: usize) -> Vec<Candidate> {
     let count = candidates.len().max(1);
     candidates.rotate_left(rotation % count);
@@ -85,7 +87,7 @@
 }
 
 impl QuorumRequest {
-    /// Nobody was asked yet; `order` has all counters.
+    /// A new request; `candidates` are all counters in the order in which to ask them.
     pub fn new(counters: &Counters, candidates: &[Candidate]) -> QuorumRequest {
         let unasked = candidates.iter().rev().copied().collect();
         let (pending, late, tokens) = (Vec::new(), Vec::new(), Vec::new());
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Counters that are to be asked now: as many as may make a quorum with those that are on their way.
+    /// The counters to ask now: as many as are needed for a quorum, together with the tokens granted and the
+    /// requests pending.
     pub fn counters_to_ask(&mut self) -> Vec<u64> {
         let mut asked = Vec::new();
         let expected = self.granted() + self.pending.len() - self.late.len();
@@ -112,7 +115,7 @@
         asked
     }
 
-    /// A counter that was asked has answered.
+    /// Records the reply of a counter that was asked.
     pub fn record_reply(&mut self, disk: u64, reply: CounterReply) {
         let Some(index) = self.pending.iter().position(|pending| *pending == disk) else { return };
         self.pending.swap_remove(index);
@@ -128,7 +131,7 @@
         self.skip_unresponsive();
     }
 
-    /// All that were asked and didn't answer are late: others are asked in their place.
+    /// Marks all pending counters as late, so that others are asked in their place. Returns them.
     pub fn mark_late(&mut self) -> Vec<u64> {
         let late = self.pending.clone();
         self.late = late.clone();
@@ -136,7 +139,8 @@
         late
     }
 
-    /// Where one counter is short, those that are late or silent aren't waited for: tokens of the others would lie idle.
+    /// Once a counter has no token, late and unresponsive counters are not waited for, because the tokens of
+    /// the others would go unused meanwhile.
     fn skip_unresponsive(&mut self) {
         if self.exhausted_ms.is_some() {
             self.unasked.retain(|candidate| !candidate.unresponsive);
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Where the message stands.
+    /// Progress of the request.
     pub fn progress(&self) -> Progress {
         if self.granted() >= self.quorum {
             return Progress::Granted;
@@ -156,12 +160,12 @@
         }
     }
 
-    /// No token that was given is used.
+    /// Abandons the request: none of the granted tokens will be used.
     pub fn abandon(&mut self) {
         self.quorum = usize::MAX;
     }
 
-    /// No answer is waited for any more.
+    /// The reason for denial if no further reply is awaited.
     pub fn denial(&self) -> Denial {
         match self.exhausted_ms {
             Some(ms) => Denial::OverQuota { refuse_for_ms: Ms::from(ms).min(MAX_LOCAL_REFUSAL_MS) },
@@ -169,7 +173,8 @@
         }
     }
 
-    /// The tokens that a message which isn't granted has to give back; those of one that is, beyond a quorum.
+    /// Removes and returns the tokens to give back: all of a request that is not granted, those beyond a
+    /// quorum of one that is.
     pub fn unused_tokens(&mut self) -> Vec<Token> {
         let used = match self.progress() {
             Progress::Granted => self.quorum.saturating_sub(self.unlimited),
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! Stores that count for tenants, in simulated time: calls are delayed and lost, processes stand still and restart, the
-//! network splits, stores are lost and new ones come, limits change.
+//! A simulation of counters and callers: calls are delayed and lost, processes freeze and restart, the
+//! network is partitioned, stores are lost and replaced, and limits change.
 use quota::ledger::TenantLimit;
 use quota::quorum::{ask_order, Candidate, CounterReply};
 use quota::{Counters, Ledger, Ms, Progress, QuorumRequest, TokenRequest, TokenResponse, TokenReturn};
@@ -9,19 +9,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-pub const WINDOW: Ms = 5_000;
-const LATE: Ms = 60;
-const PATIENCE: Ms = 250;
-const SILENT_FOR: Ms = 300;
-const POLL: Ms = 300;
-/// Configurations reach all stores within it.
-pub const CONFIG_LAG: Ms = 1_000;
+pub const WINDOW_MS: Ms = 5_000;
+const LATE_AFTER_MS: Ms = 60;
+const DEADLINE_MS: Ms = 250;
+const UNRESPONSIVE_FOR_MS: Ms = 300;
+const POLL_INTERVAL_MS: Ms = 300;
+/// A configuration reaches all stores within this time.
+pub const CONFIG_LAG_MS: Ms = 1_000;
 
 /// A planted mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mistake {
     None,
-    /// A call is sent again after its answer was late, and counted again.
+    /// Every call is sent twice, and counted twice.
     CountsBatchesTwice,
     ReturnsTwice,
     StartsFull,
@@ -38,12 +38,12 @@
     Late { store: usize, batch: usize },
     Expire { store: usize, batch: usize },
     Poll { store: usize },
-    News { store: usize, asked_at: Ms, members: Vec<u64> },
+    MembersUpdate { store: usize, asked_at: Ms, members: Vec<u64> },
     Limit { store: usize, tenant: usize, quota: usize },
-    Thaw,
+    Unfreeze,
 }
 
-/// A [`Counted`], in an order for the queue of events.
+/// A [`TokenResponse`] with an order, for the event queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Answered {
     Taken { tokens: u32, life: u64, at: Ms, short_ms: u32 },
@@ -52,7 +52,7 @@
 
 struct Batch {
     tenant: usize,
-    begun: Ms,
+    started_at: Ms,
     grants: Vec<QuorumRequest>,
     decided: Vec<bool>,
 }
@@ -65,27 +65,27 @@
     down_until: Ms,
     lost: bool,
     side: usize,
-    short_until: BTreeMap<usize, Ms>,
+    refused_until: BTreeMap<usize, Ms>,
     /// Counters that were late, and until when they are asked last.
-    silent_until: BTreeMap<u64, Ms>,
+    unresponsive_until: BTreeMap<u64, Ms>,
 }
 
-/// All stores, and what was accepted.
+/// All stores, and the messages they accepted.
 pub struct World {
     pub now: Ms,
-    pub lot: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     mistake: Mistake,
     stores: Vec<StoreProcess>,
     members: Vec<u64>,
     events: BinaryHeap<Reverse<(Ms, u64, Event)>>,
-    number: u64,
+    event_count: u64,
     batches: Vec<Batch>,
     split_until: Ms,
-    /// The quotas of all times, by number.
+    /// Every quota ever set, by number.
     quotas: Vec<Quota>,
-    /// For each tenant: from when on which quota is in force.
+    /// For each tenant, its quotas and when each one took effect.
     pub history: Vec<Vec<(Ms, Quota)>>,
-    /// For each tenant: when messages were accepted.
+    /// For each tenant, when messages were accepted.
     pub accepted: Vec<Vec<Ms>>,
 }
 
@@ -98,12 +98,12 @@
         let members: Vec<u64> = (1..=stores as u64).collect();
         let mut world = World {
             now: 0,
-            lot: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             mistake,
             stores: Vec::new(),
             members: members.clone(),
             events: BinaryHeap::new(),
-            number: 0,
+            event_count: 0,
             batches: Vec::new(),
             split_until: 0,
             quotas: quotas.to_vec(),
@@ -115,10 +115,10 @@
     }
 
     fn add_store(&mut self, disk: u64) {
-        let ledger = Ledger::new(disk, self.lot.random_range(0..u64::MAX));
+        let ledger = Ledger::new(disk, self.rng.random_range(0..u64::MAX));
         let quotas = (0..self.history.len()).map(|tenant| self.current_quota(tenant)).collect();
         let (frozen_until, down_until, lost, side) = (0, 0, false, 0);
-        let (short_until, silent_until) = (BTreeMap::new(), BTreeMap::new());
+        let (refused_until, unresponsive_until) = (BTreeMap::new(), BTreeMap::new());
         let process = StoreProcess {
             disk,
             ledger,
@@ -127,8 +127,8 @@
             down_until,
             lost,
             side,
-            short_until,
-            silent_until,
+            refused_until,
+            unresponsive_until,
         };
         self.stores.push(process);
         self.at(self.now, Event::Poll { store: self.stores.len() - 1 });
@@ -140,8 +140,8 @@
     }
 
     fn at(&mut self, at: Ms, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((at.max(self.now), self.number, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at.max(self.now), self.event_count, event)));
     }
 
     fn index(&self, disk: u64) -> Option<usize> {
@@ -152,12 +152,12 @@
         self.stores.len()
     }
 
-    /// Messages of a tenant come to a store.
+    /// Messages of a tenant arrive at a store.
     pub fn arrive(&mut self, store: usize, tenant: usize, count: u32) {
         self.at(self.now, Event::Arrive { store, tenant, count });
     }
 
-    /// Time passes.
+    /// Advances time, handling all events up to `until`.
     pub fn run_until(&mut self, until: Ms) {
         while self.events.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
             let Some(Reverse((at, _, event))) = self.events.pop() else { break };
@@ -172,9 +172,11 @@
             Event::Arrive { store, .. } | Event::Late { store, .. } | Event::Expire { store, .. } => {
                 Some(*store)
             }
-            Event::Poll { store } | Event::News { store, .. } | Event::Limit { store, .. } => Some(*store),
+            Event::Poll { store } | Event::MembersUpdate { store, .. } | Event::Limit { store, .. } => {
+                Some(*store)
+            }
             Event::Call { to, .. } | Event::Answer { to, .. } | Event::Return { to, .. } => Some(*to),
-            Event::Thaw => None,
+            Event::Unfreeze => None,
         }
     }
 
@@ -184,13 +186,13 @@
             if store.lost {
                 return;
             }
-            let still = store.frozen_until.max(store.down_until);
-            if still > self.now {
-                // A process that is down loses what comes, but polls again when it is back.
+            let resumes_at = store.frozen_until.max(store.down_until);
+            if resumes_at > self.now {
+                // A process that is down loses its events, but polls again when it is back.
                 let lost =
                     store.down_until > self.now && !matches!(event, Event::Poll { .. } | Event::Limit { .. });
                 if !lost {
-                    self.at(still, event);
+                    self.at(resumes_at, event);
                 }
                 return;
             }
@@ -213,58 +215,60 @@
                 let Batch { grants, decided, .. } = &mut self.batches[batch];
                 let undecided = grants.iter_mut().zip(decided.iter()).filter(|(_, decided)| !**decided);
                 let late: Vec<u64> = undecided.flat_map(|(grant, _)| grant.mark_late()).collect();
-                let silent_until = self.now + SILENT_FOR;
+                let unresponsive_until = self.now + UNRESPONSIVE_FOR_MS;
                 for disk in late {
-                    self.stores[store].silent_until.insert(disk, silent_until);
+                    self.stores[store].unresponsive_until.insert(disk, unresponsive_until);
                 }
-                self.go_on(store, batch);
+                self.send_requests(store, batch);
             }
             Event::Expire { store, batch } => self.expire(store, batch),
             Event::Poll { store } => self.poll(store),
-            Event::News { store, asked_at, members } => self.news(store, asked_at, &members),
+            Event::MembersUpdate { store, asked_at, members } => {
+                self.update_members(store, asked_at, &members)
+            }
             Event::Limit { store, tenant, quota } => {
-                // Versions that are known never fall.
+                // A known configuration is never replaced by an older one.
                 let known = &mut self.stores[store].quotas[tenant];
                 *known = quota.max(*known);
             }
-            Event::Thaw => {}
+            Event::Unfreeze => {}
         }
     }
 
-    fn apart(&self, one: usize, other: usize) -> bool {
+    fn are_partitioned(&self, one: usize, other: usize) -> bool {
         self.now < self.split_until && self.stores[one].side != self.stores[other].side
     }
 
     fn delay(&mut self) -> Ms {
-        match self.lot.random_bool(0.02) {
-            true => self.lot.random_range(10..70),
-            false => self.lot.random_range(1..5),
+        match self.rng.random_bool(0.02) {
+            true => self.rng.random_range(10..70),
+            false => self.rng.random_range(1..5),
         }
     }
 
-    /// Something goes from one store to another: late, or never.
+    /// Sends an event from one store to another; it may be delayed or lost.
     fn send(&mut self, from: usize, to: usize, event: Event) {
         if from == to {
             return self.at(self.now, event);
         }
-        if self.lot.random_bool(0.002) {
+        if self.rng.random_bool(0.002) {
             return;
         }
-        let held = if self.apart(from, to) { self.split_until } else { self.now };
+        let departs_at = if self.are_partitioned(from, to) { self.split_until } else { self.now };
         let delay = self.delay();
-        self.at(held + delay, event);
+        self.at(departs_at + delay, event);
     }
 
     fn poll(&mut self, store: usize) {
-        self.at(self.now + POLL, Event::Poll { store });
-        let cut = self.now < self.split_until && self.stores[store].side != 0;
-        if !cut {
+        self.at(self.now + POLL_INTERVAL_MS, Event::Poll { store });
+        let partitioned = self.now < self.split_until && self.stores[store].side != 0;
+        if !partitioned {
             let (members, asked_at, delay) = (self.members.clone(), self.now, self.delay());
-            self.at(self.now + delay, Event::News { store, asked_at, members });
+            self.at(self.now + delay, Event::MembersUpdate { store, asked_at, members });
         }
     }
 
-    fn news(&mut self, store: usize, asked_at: Ms, members: &[u64]) {
+    fn update_members(&mut self, store: usize, asked_at: Ms, members: &[u64]) {
         let now = match self.mistake {
             Mistake::StartsFull => self.now.saturating_sub(60_000),
             _ => self.now,
@@ -273,35 +277,35 @@
     }
 
     fn begin(&mut self, store: usize, tenant: usize, count: u32) {
-        if self.stores[store].short_until.get(&tenant).is_some_and(|until| self.now < *until) {
+        if self.stores[store].refused_until.get(&tenant).is_some_and(|until| self.now < *until) {
             return;
         }
         let counters = self.stores[store].ledger.counters(&name(tenant));
-        let turn = self.lot.random_range(0..6);
-        let silent_until = &self.stores[store].silent_until;
+        let turn = self.rng.random_range(0..6);
+        let unresponsive_until = &self.stores[store].unresponsive_until;
         let candidate = |disk: &u64| {
-            let unresponsive = silent_until.get(disk).is_some_and(|until| self.now < *until);
+            let unresponsive = unresponsive_until.get(disk).is_some_and(|until| self.now < *until);
             Candidate { disk: *disk, unresponsive, above_half: false, distance: 0 }
         };
         let in_order = ask_order(counters.disks().iter().map(candidate).collect(), turn);
         let grants = (0..count).map(|_| QuorumRequest::new(&counters, &in_order)).collect();
-        let (begun, decided) = (self.now, vec![false; count as usize]);
-        self.batches.push(Batch { tenant, begun, grants, decided });
+        let (started_at, decided) = (self.now, vec![false; count as usize]);
+        self.batches.push(Batch { tenant, started_at, grants, decided });
         let batch = self.batches.len() - 1;
-        self.at(self.now + LATE, Event::Late { store, batch });
-        self.at(self.now + PATIENCE, Event::Expire { store, batch });
-        self.go_on(store, batch);
+        self.at(self.now + LATE_AFTER_MS, Event::Late { store, batch });
+        self.at(self.now + DEADLINE_MS, Event::Expire { store, batch });
+        self.send_requests(store, batch);
     }
 
-    fn progress(&self, grant: &QuorumRequest, heard_token: bool) -> Progress {
-        match self.mistake == Mistake::QuorumOfOne && heard_token {
+    fn progress(&self, grant: &QuorumRequest, has_token: bool) -> Progress {
+        match self.mistake == Mistake::QuorumOfOne && has_token {
             true => Progress::Granted,
             false => grant.progress(),
         }
     }
 
-    /// Asks whom each message of a batch has to ask next.
-    fn go_on(&mut self, store: usize, batch: usize) {
+    /// Sends the next requests of all undecided messages of a batch.
+    fn send_requests(&mut self, store: usize, batch: usize) {
         let mut asks: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         let Batch { grants, decided, .. } = &mut self.batches[batch];
         for (place, grant) in grants.iter_mut().enumerate().filter(|(place, _)| !decided[*place]) {
@@ -347,7 +351,7 @@
 
     fn answered(&mut self, from: usize, to: usize, batch: usize, grants: Vec<usize>, counted: Answered) {
         let disk = self.stores[from].disk;
-        self.stores[to].silent_until.remove(&disk);
+        self.stores[to].unresponsive_until.remove(&disk);
         for (turn, place) in grants.into_iter().enumerate() {
             let reply = match counted {
                 Answered::Taken { tokens, life, at, .. } if (turn as u32) < tokens => {
@@ -366,18 +370,18 @@
             self.batches[batch].grants[place].record_reply(disk, reply);
             self.decide(to, batch, place, matches!(reply, CounterReply::Token(_)));
         }
-        self.go_on(to, batch);
+        self.send_requests(to, batch);
     }
 
-    fn decide(&mut self, store: usize, batch: usize, place: usize, heard_token: bool) {
+    fn decide(&mut self, store: usize, batch: usize, place: usize, has_token: bool) {
         if self.batches[batch].decided[place] {
             return;
         }
-        let in_time = self.now <= self.batches[batch].begun + PATIENCE;
-        if !in_time {
+        let before_deadline = self.now <= self.batches[batch].started_at + DEADLINE_MS;
+        if !before_deadline {
             self.batches[batch].grants[place].abandon();
         }
-        let progress = self.progress(&self.batches[batch].grants[place], heard_token && in_time);
+        let progress = self.progress(&self.batches[batch].grants[place], has_token && before_deadline);
         if progress == Progress::Pending {
             return;
         }
@@ -387,7 +391,7 @@
             self.accepted[tenant].push(self.now);
         }
         if let Progress::Denied(quota::Denial::OverQuota { refuse_for_ms }) = progress {
-            self.stores[store].short_until.insert(tenant, self.now + refuse_for_ms);
+            self.stores[store].refused_until.insert(tenant, self.now + refuse_for_ms);
         }
         if self.mistake != Mistake::QuorumOfOne {
             let unused = self.batches[batch].grants[place].unused_tokens();
@@ -416,29 +420,29 @@
         }
     }
 
-    /// The process of a store stands still.
+    /// Freezes the process of a store.
     pub fn freeze(&mut self, store: usize, span: Ms) {
         self.stores[store].frozen_until = self.now + span;
-        self.at(self.now + span, Event::Thaw);
+        self.at(self.now + span, Event::Unfreeze);
     }
 
-    /// A store restarts: its ledger is empty.
+    /// Restarts a store with an empty ledger.
     pub fn restart(&mut self, store: usize, span: Ms) {
-        let life = self.lot.random_range(0..u64::MAX);
+        let life = self.rng.random_range(0..u64::MAX);
         let process = &mut self.stores[store];
         process.ledger = Ledger::resumed(process.disk, life);
         process.down_until = self.now + span;
     }
 
-    /// Two halves don't hear of each other; control is with the first.
+    /// Partitions the stores into two sides; the control group is on the first.
     pub fn split(&mut self, span: Ms) {
         for store in &mut self.stores {
-            store.side = usize::from(self.lot.random_bool(0.5));
+            store.side = usize::from(self.rng.random_bool(0.5));
         }
         self.split_until = self.now + span;
     }
 
-    /// Control gives a store up, whether it is there or not, and another one comes in its place.
+    /// The control group declares a store lost, whether it is or not, and a new store replaces it.
     pub fn replace(&mut self, store: usize, stays: bool) {
         let disk = self.stores[store].disk;
         self.members.retain(|member| *member != disk);
@@ -449,33 +453,33 @@
         self.add_store(new);
     }
 
-    /// A tenant's quota changes, and the stores hear of it one after the other.
+    /// Changes the quota of a tenant; the stores learn of it one after another.
     pub fn set_quota(&mut self, tenant: usize, quota: Quota) {
         self.quotas.push(quota);
         self.history[tenant].push((self.now, quota));
         let number = self.quotas.len() - 1;
         for store in 0..self.stores.len() {
-            let at = self.now + self.lot.random_range(0..CONFIG_LAG / 2);
+            let at = self.now + self.rng.random_range(0..CONFIG_LAG_MS / 2);
             self.at(at, Event::Limit { store, tenant, quota: number });
         }
     }
 
-    /// The counters of a tenant, as control knows them.
+    /// The counters of a tenant, as the control group knows them.
     pub fn counters(&self, tenant: usize) -> Counters {
         Counters::for_tenant(&name(tenant), self.members.iter().copied())
     }
 
-    /// The store of a disk.
+    /// The index of the store with this disk.
     pub fn store_of(&self, disk: u64) -> usize {
         self.index(disk).unwrap()
     }
 
-    /// By how much, at the worst, more was accepted in a window than a share of the quota, as (accepted, allowed).
+    /// The window that exceeds its allowance by most, as (accepted, allowed).
     pub fn worst_window(&self, tenant: usize, allowed: impl Fn(Quota) -> f64) -> (usize, f64) {
         let times = &self.accepted[tenant];
         let over = |(accepted, allowed): &(usize, f64)| *accepted as f64 - allowed;
         let window = |i: usize| {
-            let until = times[i] + WINDOW;
+            let until = times[i] + WINDOW_MS;
             let accepted = times.partition_point(|at| *at <= until) - i;
             (accepted, allowed(self.highest_quota(tenant, times[i], until)))
         };
@@ -483,10 +487,10 @@
         windows.max_by(|one, other| over(one).total_cmp(&over(other))).unwrap_or((0, 0.0))
     }
 
-    /// The highest limits in force in a window, with the time that a change takes to be heard.
+    /// The highest limits in force during a window, including the time that changes need to reach the stores.
     fn highest_quota(&self, tenant: usize, from: Ms, until: Ms) -> Quota {
         let history = &self.history[tenant];
-        let ended = |i: usize| history.get(i + 1).map_or(Ms::MAX, |(at, _)| at + CONFIG_LAG);
+        let ended = |i: usize| history.get(i + 1).map_or(Ms::MAX, |(at, _)| at + CONFIG_LAG_MS);
         let in_force = (0..history.len()).filter(|i| history[*i].0 <= until && ended(*i) >= from);
         in_force.fold(Quota { rate_per_s: 0.0, burst: 0.0 }, |highest, i| Quota {
             rate_per_s: highest.rate_per_s.max(history[i].1.rate_per_s),
