--- a/crates/queue/src/message.rs
+++ b/crates/queue/src/message.rs
@@ -28,7 +28,7 @@
     /// URL to notify of the outcome.
     pub callback: Option<String>,
     pub route: String,
-    /// Version of the configuration under which the message was accepted.
+    /// Version of the configuration under which the message was received.
     pub config_version: u64,
     /// When the edge received the request.
     pub received_at: WallMs,
@@ -92,7 +92,7 @@
 }
 
 /// The bytes of a message, with a digest of these bytes and of the message id, computed when the message was
-/// accepted. They can only be read by verifying that digest.
+/// received. They can only be read by verifying that digest.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Body {
     digest: u64,
@@ -112,7 +112,7 @@
         let DamagedBody { id, length } = self;
         write!(
             f,
-            "the body of message {id} ({length} bytes here) doesn't match the digest made when it was taken; \
+            "the body of message {id} ({length} bytes here) doesn't match the digest made when it was received; \
              check the disk and the memory of this store"
         )
     }
--- a/crates/queue/src/operations.rs
+++ b/crates/queue/src/operations.rs
@@ -43,7 +43,7 @@
 }
 
 impl MessageTransfer {
-    /// Precedence of a transferred message, which is not running at the other store.
+    /// Precedence of a transferred message, which counts as not running.
     pub fn precedence(&self) -> Precedence {
         Precedence::live(self.attempts, self.message.envelope.sequence)
     }
--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -63,6 +63,7 @@
     unreconciled: BTreeSet<u64>,
     /// For each absent owner, the available stores at the time when its messages were last fully replicated.
     fully_replicated_among: BTreeMap<u64, BTreeSet<u64>>,
+    /// Absent owners whose messages are being replicated now.
     in_progress: BTreeSet<u64>,
     /// The stores that were available at the last update.
     present: BTreeSet<u64>,
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,7 +1,8 @@
 //! A token bucket whose limit may change, and to which unused tokens can be returned.
 use crate::Ms;
 
-/// Length of the windows in which taken tokens are counted. Tokens may be returned for one to two windows.
+/// Unused tokens may be returned within this time. Tokens taken are counted in windows of this length, the
+/// current and the previous one.
 pub const RETURN_WINDOW_MS: Ms = 100;
 
 /// How fast a bucket fills, and how many tokens it holds.
