--- a/crates/queue/src/operations.rs
+++ b/crates/queue/src/operations.rs
@@ -14,9 +14,9 @@
     Finished,
 }
 
-/// Decides which of two messages of one operation is kept: the one that has progressed further and, if
-/// neither has started, the one accepted later. An owner accepts a second one only if the first is on too few
-/// disks to have been acknowledged.
+/// Decides which of two messages of one operation is kept: the one that has progressed further or, at equal
+/// progress, the one accepted later, which has the higher sequence number. An owner accepts a second one only
+/// if the first is on too few disks to have been acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     progress: Progress,
@@ -31,7 +31,7 @@
 }
 
 impl OwnedMessage {
-    /// Precedence of an owned message.
+    /// Precedence of an owned message over other messages of its operation.
     pub fn precedence(&self) -> Precedence {
         let sequence = self.envelope().sequence;
         match self.stage() {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The id of the message of each operation.
+/// Maps each operation to the id of its message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Operations {
     messages: HashMap<TenantKey, String>,
@@ -61,7 +61,7 @@
         self.messages.get(operation)
     }
 
-    /// Makes a message the one of its operation.
+    /// Records this message as the one that is kept for its operation.
     pub fn set(&mut self, envelope: &Envelope) {
         if let Some(operation) = envelope.operation() {
             self.messages.insert(operation, envelope.id.clone());
--- a/crates/queue/src/ready.rs
+++ b/crates/queue/src/ready.rs
@@ -7,8 +7,8 @@
 pub enum Position {
     /// Not due before this time.
     NotDue(WallMs),
-    /// A message that can start within its target time once this many others have run, and the time until
-    /// which it can. The message itself, or a later one of the same ordering key.
+    /// The message, or a later one of the same ordering key, can still start within its target time. Contains
+    /// the number of messages that have to run before that one, and the time until which it is on time.
     OnTime(u32, WallMs),
     /// The target start time has passed. The message counts as long overdue from this time on.
     Late(WallMs),
--- a/crates/queue/src/replicas.rs
+++ b/crates/queue/src/replicas.rs
@@ -250,7 +250,7 @@
         replicas.filter(move |replica| replica.owners.contains(&owner)).filter_map(FinishedReplica::transfer)
     }
 
-    /// Final records of an owner's messages of which nothing else is kept.
+    /// Final records of an owner's messages for which this store keeps no envelope or body.
     pub fn bare_final_records_of(&self, owner: u64) -> impl Iterator<Item = &FinalRecord> {
         let of_owner = self.finished.values().filter(move |replica| replica.owners.contains(&owner));
         of_owner.filter_map(|replica| match &replica.retained {
--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -13,14 +13,15 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ids of one owner's messages, by what is kept of them.
+/// Ids of one owner's messages, grouped by what is stored for each: an unfinished message, a finished one, or
+/// only its final record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct MessageIds {
     /// Messages that have not finished.
     pub live: Vec<String>,
     /// Finished messages that have to be retained.
     pub finished: Vec<String>,
-    /// Messages of which only the final record is kept.
+    /// Finished messages for which only the final record is kept.
     pub final_records: Vec<String>,
 }
 
--- a/crates/queue/tests/placement.rs
+++ b/crates/queue/tests/placement.rs
@@ -73,8 +73,8 @@
     all
 }
 
-/// Whether a copy survives the loss of any `lost` of the values of `of`. If there are no more values than
-/// that, all but one are lost.
+/// Whether a copy survives the loss of any `lost` failure domains; `of` returns the domain of a store. If
+/// there are no more domains than that, all but one are lost.
 fn survives(
     stores: &BTreeMap<u64, Location>,
     copies: &BTreeSet<u64>,
@@ -106,8 +106,8 @@
     }
 }
 
-/// Planted mistake: copies at the nearest stores alone do not survive the loss of a region. The check above
-/// detects it.
+/// Tests the check above with a wrong placement: copies at only the nearest stores, which do not survive the
+/// loss of a region.
 #[test]
 fn the_nearest_stores_alone_do_not_survive_the_loss_of_a_region() {
     let stores = BTreeMap::from([
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -15,7 +15,8 @@
 }
 
 impl Limit {
-    fn filled_in(self, ms: Ms) -> f64 {
+    /// Number of tokens added in this many milliseconds.
+    fn tokens_added_in(self, ms: Ms) -> f64 {
         self.tokens_per_s * ms as f64 / 1_000.0
     }
 }
@@ -76,7 +77,7 @@
         filling + self.filled_at.saturating_sub(now)
     }
 
-    /// The used share of the depth.
+    /// The share of the bucket's depth that is used.
     pub fn used_share(&mut self, limit: Limit, now: Ms) -> f64 {
         self.fill(limit, now);
         1.0 - self.tokens / limit.depth
@@ -94,11 +95,11 @@
         self.advance_window(now);
         let rate = self.limit.tokens_per_s.min(limit.tokens_per_s);
         let passed = now.saturating_sub(self.filled_at);
-        let filled = self.tokens + Limit { tokens_per_s: rate, ..limit }.filled_in(passed);
+        let filled = self.tokens + Limit { tokens_per_s: rate, ..limit }.tokens_added_in(passed);
         let outstanding = (self.current_window.tokens + self.previous_window.tokens) as f64;
         // Outstanding tokens may still be returned and take up room; what is filled in during the two windows
         // does not count against that.
-        let room = limit.depth + limit.filled_in(2 * RETURN_WINDOW_MS) - outstanding;
+        let room = limit.depth + limit.tokens_added_in(2 * RETURN_WINDOW_MS) - outstanding;
         self.tokens = filled.min(room.max(self.tokens)).min(limit.depth);
         self.filled_at = self.filled_at.max(now);
         self.limit = limit;
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -98,7 +98,8 @@
     /// An earlier process on this disk was a store already, so this store counts at once after its first
     /// update.
     resumed_process: bool,
-    /// Updates of the list of stores, as far back as they matter. The last one is in force.
+    /// Versions of the list of stores. The last one determines the counters; earlier ones are kept back to
+    /// the newest whose `begins_at` had passed when the list last changed.
     members: Vec<Members>,
     members_confirmed_at: Option<Ms>,
     accounts: BTreeMap<String, Account>,
--- a/crates/quota/src/quorum.rs
+++ b/crates/quota/src/quorum.rs
@@ -7,7 +7,7 @@
 /// Longest time for which a caller refuses a tenant without asking, after a counter had no token.
 pub const MAX_LOCAL_REFUSAL_MS: Ms = 50;
 
-/// The reply of one counter to one message.
+/// The reply of one counter to the token request of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterReply {
     Token(TokenStamp),
@@ -43,7 +43,7 @@
     pub stamp: TokenStamp,
 }
 
-/// The request of one message.
+/// The request for one message's tokens.
 #[derive(Clone, Debug)]
 pub struct QuorumRequest {
     quorum: usize,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Removes and returns the tokens to give back: all of a request that is not granted, those beyond a
-    /// quorum of one that is.
+    /// Removes and returns the tokens to give back: all tokens if the request is not granted, otherwise those
+    /// beyond the quorum.
     pub fn unused_tokens(&mut self) -> Vec<Token> {
         let used = match self.progress() {
             Progress::Granted => self.quorum.saturating_sub(self.unlimited),
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -17,7 +17,7 @@
 /// A configuration reaches all stores within this time.
 pub const CONFIG_LAG_MS: Ms = 1_000;
 
-/// A planted mistake.
+/// A fault injected into the quota protocol, to test that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mistake {
     None,
@@ -474,7 +474,8 @@
         self.index(disk).unwrap()
     }
 
-    /// The window that exceeds its allowance by most, as (accepted, allowed).
+    /// The window that exceeds its bound by the most messages, or comes closest to it. Returns the number of
+    /// messages accepted in the window, and the number allowed.
     pub fn worst_window(&self, tenant: usize, allowed: impl Fn(Quota) -> f64) -> (usize, f64) {
         let times = &self.accepted[tenant];
         let over = |(accepted, allowed): &(usize, f64)| *accepted as f64 - allowed;
--- a/crates/quota/tests/quotas.rs
+++ b/crates/quota/tests/quotas.rs
@@ -1,6 +1,6 @@
 //! Tenant quotas under seeded schedules: with any mix of delays, losses, frozen processes, partitions,
 //! restarts and replacements, no window has more accepted messages than the rule allows, and most of a quota
-//! can be used. Planted mistakes are detected.
+//! can be used. The checks detect faults injected into the protocol.
 mod model;
 
 use model::{Mistake, World, WINDOW_MS};
@@ -12,14 +12,14 @@
 const SEEDS: u64 = 300;
 const SEEDS_PER_MISTAKE: u64 = 100;
 const STEP: Ms = 5;
-/// By this time the initial counters have started.
-const COUNTERS_STARTED: Ms = 8_000;
+/// Simulated time by which the initial counters have started to grant tokens.
+const COUNTERS_STARTED_BY_MS: Ms = 8_000;
 const END: Ms = 40_000;
 const STORES: usize = 6;
 
 const SMALL: Quota = Quota { rate_per_s: 8.0, burst: 4.0 };
 const LARGE: Quota = Quota { rate_per_s: 150.0, burst: 60.0 };
-/// Most of this quota is the burst: two additional full buckets exceed the bound.
+/// A quota that consists mostly of its burst: two additional full buckets exceed the bound.
 const BURSTS: Quota = Quota { rate_per_s: 20.0, burst: 300.0 };
 const TENANTS: [Quota; 3] = [SMALL, LARGE, BURSTS];
 
@@ -61,7 +61,7 @@
 fn run_scenario(seed: u64, mistake: Mistake) -> World {
     let mut world = World::new(seed, STORES, &TENANTS, mistake);
     while world.now < END {
-        if world.now > COUNTERS_STARTED && world.rng.random_bool(0.006) {
+        if world.now > COUNTERS_STARTED_BY_MS && world.rng.random_bool(0.006) {
             inject_fault(&mut world);
         }
         for tenant in 0..TENANTS.len() {
@@ -104,7 +104,7 @@
     assert!(accepted > 100_000, "too few accepted messages for a result: {accepted}");
 }
 
-/// Checks that the bound detects each planted mistake.
+/// Checks that each injected fault exceeds the bound with at least the given number of seeds.
 #[rstest]
 #[case(Mistake::ReturnsTwice, 1)]
 #[case(Mistake::StartsFull, 1)]
@@ -121,7 +121,7 @@
 /// frozen.
 fn share_used(seed: u64, mistake: Mistake, times: f64, away: usize) -> f64 {
     let mut world = World::new(seed, STORES, &TENANTS, mistake);
-    world.run_until(COUNTERS_STARTED);
+    world.run_until(COUNTERS_STARTED_BY_MS);
     let counters = world.counters(1);
     for disk in &counters.disks()[..away] {
         world.freeze(world.store_of(*disk), 60_000);
@@ -156,7 +156,7 @@
     assert!(smallest_share >= at_least, "{smallest_share} of the quota used");
 }
 
-/// Planted mistake: a batch that is counted twice leaves half of the quota unused.
+/// Injected fault: a batch is counted twice, which leaves half of the quota unused.
 #[test]
 fn a_batch_that_is_counted_twice_is_detected() {
     let found = (0..50).filter(|seed| share_used(*seed, Mistake::CountsBatchesTwice, 1.05, 0) < 0.95).count();
