--- a/crates/membership/benches/cost.rs
+++ b/crates/membership/benches/cost.rs
@@ -1,10 +1,11 @@
-//! What a datagram and a round cost one member, by the fleet's size: at rest, with 2.8% of the others suspect, and with a
-//! word on every member to pass on, as after a start.
+//! The cost of a datagram and of a round for one member, by the fleet's size: at rest, with 2.8% of the other
+//! members suspect, and with an update about every member to spread, as after a start.
 //!
 //!     cargo bench -p membership --bench cost [-- SIZE...]
 //!
-//! A datagram is a ping that is received and answered, and what the driver does after it. A round is a tick that asks
-//! another, whose answer is not in the figure. Nanoseconds, the median (5th to 95th percentile) of many.
+//! A datagram is a ping that is received and answered, with what the driver does after it. A round is a tick
+//! that probes a member, without its answer. Results are in nanoseconds, as median (5th to 95th percentile)
+//! of many runs.
 #[path = "../tests/network/mod.rs"]
 mod network;
 use membership::{EntryStatus, MemberState, Ms, Node, Roster};
@@ -14,17 +15,17 @@
 use std::time::Instant;
 
 const SIZES: [usize; 4] = [30, 150, 510, 3_000];
-/// The member that is measured, and one that it hears.
+/// The measured member, and a member that sends to it.
 const SUBJECT: usize = 0;
 const PEER: usize = 1;
-/// Suspects of 1,000 others.
-const SUSPECTS: usize = 28;
-/// Datagrams and rounds that are measured at most; fewer where each takes long.
-const DATAGRAMS: usize = 2_000;
-const ROUNDS: usize = 400;
-const SECONDS: u64 = 4;
+/// Suspects among 1,000 other members.
+const SUSPECTS_PER_1000: usize = 28;
+/// Limits of a measurement; there are fewer runs where each takes long.
+const MAX_DATAGRAMS: usize = 2_000;
+const MAX_ROUNDS: usize = 400;
+const MAX_SECONDS: u64 = 4;
 
-type Out = Vec<(SocketAddr, Vec<u8>)>;
+type Datagrams = Vec<(SocketAddr, Vec<u8>)>;
 
 fn roster(members: impl Iterator<Item = usize>) -> Roster {
     let mut roster = Roster::default();
@@ -32,17 +33,17 @@
     roster
 }
 
-/// A member that has just started and has kept the roster of a fleet of itself.
-fn started(n: usize, seed: usize, now: Ms) -> Node {
+/// A member that has just started, with a stored roster of itself alone.
+fn started_member(n: usize, seed: usize, now: Ms) -> Node {
     Node::new(config(&[seed]), id(n, 1), address(n), "1", n as u64, now)
         .with_roster(roster(std::iter::once(n)))
 }
 
-/// What one that has just started says first: its own word, to its seed.
-fn first_word(n: usize, seed: usize, now: Ms) -> Vec<u8> {
-    let mut out = Out::new();
-    started(n, seed, now).tick(now + INTERVAL, &mut out);
-    out.into_iter().next().expect("it asks its seed").1
+/// The first datagram of a member that has just started: its own update, to its seed.
+fn first_datagram(n: usize, seed: usize, now: Ms) -> Vec<u8> {
+    let mut datagrams = Datagrams::new();
+    started_member(n, seed, now).tick(now + INTERVAL, &mut datagrams);
+    datagrams.into_iter().next().expect("a datagram to its seed").1
 }
 
 struct Bench {
@@ -52,42 +53,43 @@
 }
 
 impl Bench {
-    /// Knows all, and has a word on each to pass on.
+    /// A member that knows all others, and has an update about each to spread.
     fn starting(n: usize) -> Bench {
         let node = Node::new(config(&[PEER]), id(SUBJECT, 1), address(SUBJECT), "1", 1, 0);
         let mut node = node.with_roster(roster(0..n));
-        let mut out = Out::new();
+        let mut datagrams = Datagrams::new();
         for other in 1..n {
-            node.receive(0, address(other), &first_word(other, SUBJECT, 0), &mut out);
+            node.receive(0, address(other), &first_datagram(other, SUBJECT, 0), &mut datagrams);
         }
-        // The peer knows nobody but the subject, so it asks that in its first round.
-        let mut peer = started(PEER, 77, 0);
-        peer.receive(0, address(SUBJECT), &first_word(SUBJECT, PEER, 0), &mut out);
-        out.clear();
-        peer.tick(INTERVAL, &mut out);
-        let ping = out.into_iter().find(|(to, _)| *to == address(SUBJECT)).expect("it asks the subject").1;
+        // The peer knows nobody but the subject, so it probes that in its first round.
+        let mut peer = started_member(PEER, 77, 0);
+        peer.receive(0, address(SUBJECT), &first_datagram(SUBJECT, PEER, 0), &mut datagrams);
+        datagrams.clear();
+        peer.tick(INTERVAL, &mut datagrams);
+        let ping =
+            datagrams.into_iter().find(|(to, _)| *to == address(SUBJECT)).expect("a ping to the subject").1;
         Bench { node, now: 1, ping }
     }
 
-    /// A datagram as the driver takes it.
+    /// Handles a datagram as the driver does.
     fn datagram(&mut self) -> usize {
-        let mut out = Out::new();
-        self.node.receive(self.now, address(PEER), &self.ping, &mut out);
-        self.node.tick(self.now, &mut out);
+        let mut datagrams = Datagrams::new();
+        self.node.receive(self.now, address(PEER), &self.ping, &mut datagrams);
+        self.node.tick(self.now, &mut datagrams);
         black_box((
             self.node.has_name_conflict(self.now),
             self.node.may_act(self.now),
             self.node.next_deadline(),
         ));
-        out.iter().map(|(_, bytes)| bytes.len()).sum()
+        datagrams.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// Until no word is left to pass on.
-    fn rest(&mut self) {
+    /// Runs until no update is left to spread.
+    fn drain_gossip(&mut self) {
         while self.datagram() > 120 {}
     }
 
-    /// Another says that some are suspect. It was not answered by them.
+    /// Makes the measured member hear from another one that some members don't answer.
     fn suspect(&mut self, suspects: &[usize], accuser: usize) {
         for &suspect in suspects {
             let mut tries = 0;
@@ -102,40 +104,46 @@
     fn accuse(&mut self, suspect: usize, by: usize, seed: u64) {
         let own = Node::new(config(&[SUBJECT]), id(by, 1), address(by), "1", seed, 0);
         let mut accuser = own.with_roster(roster(std::iter::once(by)));
-        let mut out = Out::new();
-        for one in [suspect, SUBJECT] {
-            accuser.receive(0, address(one), &first_word(one, by, 0), &mut out);
+        let mut datagrams = Datagrams::new();
+        for member in [suspect, SUBJECT] {
+            accuser.receive(0, address(member), &first_datagram(member, by, 0), &mut datagrams);
         }
-        // In a later round it would ask for all that the subject knows, and then ask others.
+        // In a later round the accuser would exchange its state with the subject, and then probe other
+        // members.
         for now in (1..=3 * INTERVAL).step_by(100) {
-            out.clear();
-            accuser.tick(now, &mut out);
-            let (own, mut answers) = (address(by), Out::new());
-            for (_, bytes) in out.iter().filter(|(to, _)| *to == address(SUBJECT)) {
+            datagrams.clear();
+            accuser.tick(now, &mut datagrams);
+            let (own, mut answers) = (address(by), Datagrams::new());
+            for (_, bytes) in datagrams.iter().filter(|(to, _)| *to == address(SUBJECT)) {
                 self.node.receive(self.now, own, bytes, &mut answers);
             }
             for (_, bytes) in answers.iter().filter(|(to, _)| *to == own) {
-                accuser.receive(now, address(SUBJECT), bytes, &mut Out::new());
+                accuser.receive(now, address(SUBJECT), bytes, &mut Datagrams::new());
             }
         }
     }
 
-    /// What is due an interval later; whoever is asked and is not suspect answers.
+    /// Runs the round that is due an interval later. The probed member answers unless it is suspect.
     fn round(&mut self) -> u64 {
         self.now += INTERVAL;
-        let (mut out, begun) = (Out::new(), Instant::now());
-        self.node.tick(self.now, &mut out);
+        let (mut datagrams, started_at) = (Datagrams::new(), Instant::now());
+        self.node.tick(self.now, &mut datagrams);
         black_box(self.node.next_deadline());
-        let spent = begun.elapsed().as_nanos() as u64;
-        for (to, bytes) in out {
+        let spent = started_at.elapsed().as_nanos() as u64;
+        for (to, bytes) in datagrams {
             let asked = id(member_index(to), 1);
             if self.node.state_of(&asked) != Some(MemberState::Alive) {
                 continue;
             }
-            let mut answers = Out::new();
-            started(member_index(to), 77, self.now).receive(self.now, address(SUBJECT), &bytes, &mut answers);
+            let mut answers = Datagrams::new();
+            started_member(member_index(to), 77, self.now).receive(
+                self.now,
+                address(SUBJECT),
+                &bytes,
+                &mut answers,
+            );
             for (_, answer) in answers {
-                self.node.receive(self.now, to, &answer, &mut Out::new());
+                self.node.receive(self.now, to, &answer, &mut Datagrams::new());
             }
         }
         spent
@@ -144,39 +152,42 @@
 
 fn spread(mut values: Vec<u64>) -> String {
     values.sort_unstable();
-    let at = |part: f64| values[((values.len() - 1) as f64 * part) as usize];
-    format!("{:>9} ({} to {}) of {}", at(0.5), at(0.05), at(0.95), values.len())
+    let percentile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
+    format!("{:>9} ({} to {}) of {}", percentile(0.5), percentile(0.05), percentile(0.95), values.len())
 }
 
-/// The time of each of so many turns, or of as many as fit.
-fn timed(most: usize, mut turn: impl FnMut() -> u64) -> String {
-    let begun = Instant::now();
+/// Times up to `max_runs` runs, as many as fit into `MAX_SECONDS`.
+fn measure_runs(max_runs: usize, mut run: impl FnMut() -> u64) -> String {
+    let started_at = Instant::now();
     let mut values = Vec::new();
-    while values.len() < most && begun.elapsed().as_secs() < SECONDS {
-        values.push(turn());
+    while values.len() < max_runs && started_at.elapsed().as_secs() < MAX_SECONDS {
+        values.push(run());
     }
     spread(values)
 }
 
 fn datagram(bench: &mut Bench) -> u64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     black_box(bench.datagram());
-    begun.elapsed().as_nanos() as u64
+    started_at.elapsed().as_nanos() as u64
 }
 
 fn measure(n: usize) {
     let mut bench = Bench::starting(n);
-    println!("{n:5} starting, datagram {}", timed(20, || datagram(&mut bench)));
-    bench.rest();
-    println!("{n:5} at rest,  datagram {}", timed(DATAGRAMS, || datagram(&mut bench)));
-    println!("{n:5} at rest,  round    {}", timed(ROUNDS, || bench.round()));
+    println!("{n:5} starting, datagram {}", measure_runs(20, || datagram(&mut bench)));
+    bench.drain_gossip();
+    println!("{n:5} at rest,  datagram {}", measure_runs(MAX_DATAGRAMS, || datagram(&mut bench)));
+    println!("{n:5} at rest,  round    {}", measure_runs(MAX_ROUNDS, || bench.round()));
     let accuser = n - 1;
-    let suspects: Vec<usize> = (accuser - (n * SUSPECTS).div_ceil(1_000)..accuser).collect();
+    let suspects: Vec<usize> = (accuser - (n * SUSPECTS_PER_1000).div_ceil(1_000)..accuser).collect();
     bench.suspect(&suspects, accuser);
-    bench.rest();
+    bench.drain_gossip();
     let count = (0..n).filter(|m| bench.node.state_of(&id(*m, 1)) == Some(MemberState::Suspect)).count();
-    println!("{n:5} with {count} suspects, datagram {}", timed(DATAGRAMS, || datagram(&mut bench)));
-    println!("{n:5} with {count} suspects, round    {}", timed(10, || bench.round()));
+    println!(
+        "{n:5} with {count} suspects, datagram {}",
+        measure_runs(MAX_DATAGRAMS, || datagram(&mut bench))
+    );
+    println!("{n:5} with {count} suspects, round    {}", measure_runs(10, || bench.round()));
 }
 
 fn main() {
--- a/crates/membership/examples/histories.rs
+++ b/crates/membership/examples/histories.rs
@@ -1,62 +1,64 @@
-//! One sum over all that fleets on the tests' network send while faults of all kinds strike them, by size: a change of the
-//! program that is to change no decision and no datagram leaves them as they are.
+//! One checksum per fleet size over all datagrams that fleets on the tests' network send under random faults.
+//! A change of the program that should alter no decision and no datagram leaves the checksums as they are.
 //!
 //!     cargo run --release -p membership --example histories [SEEDS]
 #[path = "../tests/network/mod.rs"]
 mod network;
-use network::{id, Dice, Net};
+use network::{id, Network, Random};
 
-/// Members, and rounds between two faults at most.
+/// Number of members, and most rounds between two faults.
 const FLEETS: [(usize, u64); 5] = [(3, 25), (5, 25), (9, 25), (30, 40), (60, 60)];
 
-fn play(seed: u64, n: usize, pause: u64) -> (u64, u32) {
-    let mut dice = Dice::new(seed ^ 0x1157);
-    let mut net = Net::new(seed);
-    // Every third fleet has some that speak the first form only.
-    net.old = (0..if seed % 3 == 2 { n / 3 } else { 0 }).collect();
-    let mut lives = vec![1u64; n];
-    (0..n).for_each(|m| net.start(m, id(m, 1), &[0, 1, 2]));
-    net.rounds(dice.below(40));
+fn run_fleet(seed: u64, n: usize, max_pause: u64) -> (u64, u32) {
+    let mut random = Random::new(seed ^ 0x1157);
+    let mut network = Network::new(seed);
+    // In every third fleet some members speak version 1 only.
+    network.version_1_only = (0..if seed % 3 == 2 { n / 3 } else { 0 }).collect();
+    let mut generations = vec![1u64; n];
+    (0..n).for_each(|m| network.start(m, id(m, 1), &[0, 1, 2]));
+    network.rounds(random.below(40));
     for _ in 0..10 {
-        net.loss = [0, 0, 5, 30][dice.below(4) as usize];
-        net.delay = [20, 200, 900][dice.below(3) as usize];
-        net.twice = 10 * dice.below(2);
-        let (one, half) = (dice.below(n as u64) as usize, 1 + dice.below(n as u64 - 1) as usize);
-        match dice.below(8) {
-            0 if net.nodes.contains_key(&one) => net.kill(one),
+        network.loss_percent = [0, 0, 5, 30][random.below(4) as usize];
+        network.max_delay = [20, 200, 900][random.below(3) as usize];
+        network.duplicate_percent = 10 * random.below(2);
+        let (member, half) = (random.below(n as u64) as usize, 1 + random.below(n as u64 - 1) as usize);
+        match random.below(8) {
+            0 if network.nodes.contains_key(&member) => network.kill(member),
             0 | 1 => {
-                if dice.percent(30) {
-                    net.rosters.remove(&one);
+                if random.percent(30) {
+                    network.stored_rosters.remove(&member);
                 }
-                lives[one] += 1;
-                net.start(one, id(one, lives[one]), &[0, 1, 2]);
+                generations[member] += 1;
+                network.start(member, id(member, generations[member]), &[0, 1, 2]);
             }
-            2 => net.stop(one),
-            3 => net.go_on(one),
-            4 => (0..half).for_each(|a| (half..n).for_each(|b| net.cut.extend([(a, b), (b, a)]))),
-            5 => (0..half).for_each(|a| (half..n).for_each(|b| _ = net.cut.insert((a, b)))),
-            6 if net.nodes.len() > 2 => net.leave(one),
-            _ => net.cut.clear(),
+            2 => network.pause(member),
+            3 => network.resume(member),
+            4 => {
+                (0..half).for_each(|a| (half..n).for_each(|b| network.blocked_links.extend([(a, b), (b, a)])))
+            }
+            5 => (0..half).for_each(|a| (half..n).for_each(|b| _ = network.blocked_links.insert((a, b)))),
+            6 if network.nodes.len() > 2 => network.leave(member),
+            _ => network.blocked_links.clear(),
         }
-        if net.nodes.contains_key(&0) && dice.percent(20) {
-            let _ = net.strike(0, &id(one, 1).name, dice.percent(50));
+        if network.nodes.contains_key(&0) && random.percent(20) {
+            let _ = network.strike(0, &id(member, 1).name, random.percent(50));
         }
-        net.rounds(1 + dice.below(pause));
-        net.check_incarnations();
+        network.rounds(1 + random.below(max_pause));
+        network.check_incarnations();
     }
-    net.cut.clear();
-    (net.loss, net.twice) = (0, 0);
-    // Long enough that those who ended are forgotten, and that what was forgotten is.
-    net.rounds(750);
-    (net.datagrams, net.history())
+    network.blocked_links.clear();
+    (network.loss_percent, network.duplicate_percent) = (0, 0);
+    // Long enough to forget members that failed or left, and to expire the memory of them.
+    network.rounds(750);
+    (network.datagrams, network.history())
 }
 
 fn main() {
     let seeds: u64 = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(30);
-    for (n, pause) in FLEETS {
+    for (n, max_pause) in FLEETS {
         let (mut datagrams, mut sum) = (0, crc32fast::Hasher::new());
         for seed in 0..seeds {
-            let (sent, history) = play(seed, n, pause);
+            let (sent, history) = run_fleet(seed, n, max_pause);
             datagrams += sent;
             sum.update(&history.to_le_bytes());
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,15 @@
-//! Who of a fleet is present: SWIM with suspicion and incarnation numbers, and Lifeguard's local health.
+//! Membership of a fleet: the SWIM protocol with suspicion and incarnation numbers, and Lifeguard's local
+//! health.
 //!
-//! No I/O, clock or global state: datagrams and times are passed in, datagrams come out, and random numbers come from a
-//! seed. What is promised and measured is in `docs/membership.md`.
+//! No I/O, clocks or global state: datagrams and the current time are passed in, datagrams are returned, and
+//! random numbers come from a seed. The guarantees and measurements are in `docs/membership.md`.
 mod digest;
+mod gossip;
 mod members;
 mod node;
 mod roster;
 mod standing;
 mod wire;
-mod words;
 
 pub use node::{Config, DropCounts, MemberView, Node, StrikeError};
 pub use roster::{EntryStatus, Roster, RosterEntry, RosterError};
@@ -17,5 +18,5 @@
     Impairment, MemberId, MemberState, MemberUpdate, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, PROTOCOL_VERSION,
 };
 
-/// Milliseconds on a clock that only rises.
+/// Milliseconds on a monotonic clock.
 pub type Ms = u64;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,15 +1,17 @@
-//! One member's part of the protocol.
+//! One member's state machine: it probes other members, spreads what it learns, and derives its standing in
+//! the fleet.
 mod joining;
 
 use crate::digest::{self, Digests};
-use crate::members::{life_digest, Member, Members, CONFIRMED};
+use crate::gossip::{GossipQueue, UpdateKind};
+use crate::members::{member_digest, Member, Members, MAX_CONFIRMATIONS};
 use crate::roster::{EntryStatus, Roster, RosterEntry};
 use crate::standing::{Standing, StandingTracker};
-use crate::wire::{decode, encode, version_read, version_said};
+use crate::wire::{decode, encode, split_protocol_version, with_protocol_version};
 use crate::wire::{
-    Body, Impairment, MemberId, MemberState, MemberUpdate, Message, Said, Unfit, ENTRIES, PROTOCOL_VERSION,
+    Body, DecodeError, FleetSummary, Impairment, MemberId, MemberState, MemberUpdate, Message,
+    MAX_ROSTER_ENTRIES, PROTOCOL_VERSION,
 };
-use crate::words::{News, Words};
 use crate::Ms;
 pub use joining::StrikeError;
 use rand::{RngExt, SeedableRng};
@@ -18,24 +20,30 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
+/// Settings of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Datagrams of other fleets are dropped.
+    /// Identifies the fleet; datagrams of other fleets are dropped.
     pub fleet: u64,
-    /// Another member is asked once in so long.
+    /// Length of a round: one other member is probed in each.
     pub interval: Ms,
-    /// How long an answer may take before others are asked to try.
+    /// How long a reply to a ping may take before other members are asked to ping the target.
     pub timeout: Ms,
-    /// How long one that left or failed is shown; it is remembered ten times as long.
+    /// How long a member that left or failed is still listed. It is remembered ten times as long, so that
+    /// outdated updates can't bring it back.
     pub forget_after: Ms,
-    /// Two lives of one name are shown as a conflict if both have lived for so long: an upgrade is over by then.
+    /// How long two processes of one name must both have been present before that counts as a conflict; an
+    /// upgrade takes less.
     pub conflict_after: Ms,
+    /// Addresses that a member without any contact asks for the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The highest form of datagrams that it speaks, 1 to `VERSION`: held back while older programs may come back.
+    /// The highest protocol version to speak, from 1 to `PROTOCOL_VERSION`. A lower one is set while older
+    /// programs may come back.
     pub protocol_version: u8,
 }
 
 impl Config {
+    /// The usual settings for a fleet with these seeds.
     pub fn new(fleet: u64, seeds: Vec<SocketAddr>) -> Config {
         let (interval, timeout, forget_after, conflict_after) = (1_000, 300, 60_000, 30_000);
         Config {
@@ -50,55 +58,59 @@
     }
 }
 
-/// Others that are asked to try where a member does not answer.
-const HELPERS: usize = 3;
-/// A suspicion lasts this many intervals times the digits of the fleet's size at least, and so many times that at most
-/// while nobody confirms it.
-const SUSPICION: f64 = 4.0;
-const UNCONFIRMED: f64 = 6.0;
-/// Each word is passed on so often, times the digits of the fleet's size in base two.
-const PASSED_ON: f64 = 3.0;
-/// Worst health; intervals and patience grow by it.
-const WORST: u64 = 8;
-/// In so many intervals all that is known is compared with one other, and one that is not heard of is looked for.
-const COMPARE: u64 = 10;
-/// Members that are remembered after they were forgotten.
-const REMEMBERED: usize = 4_096;
-/// Of those who are expected and not heard of, so many are asked in a round by one that hears nobody.
-const LOOKED_FOR: usize = 3;
-/// Of those of whom it is not known whether they are in the roster, so many are asked in a round: no sum tells of that.
-const ASKED: usize = 8;
-/// Suspects that are asked once more each time that an answer may take, so that one that lives hears of it.
-const REMINDED: usize = 3;
-/// One that is suspect for so many times the least of a suspicion, and whom nobody has given up yet, counts no more: in a
-/// small part of a fleet few are there to confirm it.
-const COUNTS: u64 = 2;
-/// Where a member is heard to see the fleet otherwise, that is looked into after so many rounds again.
-const LOOK_INTO: u64 = 5;
-
-/// What is shown of a member.
+/// Members that are asked to ping a target that doesn't answer.
+const INDIRECT_PROBES: usize = 3;
+/// A suspicion lasts at least this many intervals, times the decimal logarithm of the fleet's size (at least 1).
+/// While no other member confirms it, it lasts `MAX_SUSPICION_FACTOR` times as long.
+const MIN_SUSPICION_FACTOR: f64 = 4.0;
+const MAX_SUSPICION_FACTOR: f64 = 6.0;
+/// Each update is sent this many times, times the binary logarithm of the fleet's size.
+const GOSSIP_FACTOR: f64 = 3.0;
+/// Upper bound of the health score; intervals and timeouts grow with the score.
+const MAX_HEALTH_SCORE: u64 = 8;
+/// Every so many rounds, the state is compared with one other member, and one absent seed and one absent
+/// expected member are contacted.
+const EXCHANGE_ROUNDS: u64 = 10;
+/// Upper bound of the forgotten members that are remembered.
+const MAX_FORGOTTEN_MEMBERS: usize = 4_096;
+/// Expected but absent members that a member without any contact asks in each round.
+const ABSENT_CONTACTS_PER_ROUND: usize = 3;
+/// Members with unknown roster status that are pinged in each round. Digests don't cover that status.
+const ROSTER_QUERIES_PER_ROUND: usize = 8;
+/// Suspects that are pinged once more in each probe timeout, so that a living one learns of the suspicion.
+const SUSPECTS_PER_REMINDER: usize = 3;
+/// A suspect is no longer counted as present after this many times the least suspicion timeout, even if
+/// nobody has declared it failed: in a small partition few members can confirm the suspicion.
+const DISCOUNT_FACTOR: u64 = 2;
+/// Rounds between two exchanges of digests that are triggered by a member with a different view.
+const DISAGREEMENT_ROUNDS: u64 = 5;
+
+/// A member as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
+    /// The process.
     pub id: MemberId,
     pub address: SocketAddr,
+    /// The version of its program.
     pub version: String,
     pub state: MemberState,
     pub incarnation: u32,
-    /// For how long it has been so.
+    /// How long the member has been in this state.
     pub for_ms: Ms,
+    /// The member that reported the state.
     pub by: String,
-    /// Another life under its name is alive too, and has been for longer than an upgrade takes.
+    /// Another process of the same name has also been present for longer than an upgrade takes.
     pub conflicts: bool,
-    /// The roster has its name.
+    /// Whether the roster expects the name.
     pub expected: bool,
-    /// What it says of its own standing, and why it can't do its work; None where it has not said, or can't.
+    /// The standing and impairment that the member reports; None if it has reported none, or can't.
     pub standing: Option<Standing>,
     pub impairment: Option<Impairment>,
-    /// For how long it has seen the fleet otherwise than this one.
+    /// How long the member's view of the fleet has differed from the local one.
     pub differs_ms: Option<Ms>,
 }
 
-/// Datagrams that were dropped, by reason.
+/// Numbers of dropped datagrams, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
     pub too_long: u64,
@@ -107,26 +119,28 @@
     pub malformed: u64,
 }
 
-/// A member that is being asked.
+/// A ping that waits for its answer.
 struct Probe {
     id: MemberId,
-    number: u32,
-    at: Ms,
-    asked_others: bool,
-    /// Others that were asked, and how many of these have said that they hear nothing either.
+    sequence: u32,
+    started_at: Ms,
+    sent_indirect: bool,
+    /// Members that were asked to ping the target, and how many of them reported that it doesn't answer them
+    /// either.
     helpers: usize,
     nacks: usize,
     answered: bool,
 }
 
-/// A ping for another's sake.
-struct Errand {
-    number: u32,
-    for_whom: SocketAddr,
-    theirs: u32,
-    until: Ms,
+/// A ping on behalf of another member.
+struct RelayedPing {
+    sequence: u32,
+    requester: SocketAddr,
+    requester_sequence: u32,
+    deadline: Ms,
 }
 
+/// One member: takes datagrams and the time, and returns the datagrams to send.
 pub struct Node {
     config: Config,
     id: MemberId,
@@ -135,63 +149,67 @@
     incarnation: u32,
     left: bool,
     members: Members,
-    gone: Gone,
-    words: Words,
-    /// So many datagrams in a row told that their senders know all who are present as this one does.
-    agreed: u32,
-    /// In what order members are asked in this turn.
-    turn: Vec<MemberId>,
+    forgotten: ForgottenMembers,
+    gossip: GossipQueue,
+    /// Consecutive datagrams whose senders knew all present members, as this one does.
+    agreeing_datagrams: u32,
+    /// Members that are still to be probed in this turn; the last is next.
+    probe_order: Vec<MemberId>,
     probe: Option<Probe>,
-    errands: Vec<Errand>,
-    number: u32,
-    next: Ms,
+    relays: Vec<RelayedPing>,
+    sequence: u32,
+    next_round_at: Ms,
     rounds: u64,
-    /// 0: answers come as they should; the higher the less its own word is worth.
-    health: u64,
+    /// Lifeguard's local health: 0 while replies arrive in time. The higher it is, the less this member
+    /// trusts its own suspicions.
+    health_score: u64,
     random: Pcg32,
     pub dropped: DropCounts,
     roster: Roster,
-    /// It is to be kept anew.
+    /// The roster has to be stored again.
     roster_changed: bool,
-    /// The roster has once been all that another had, or was made or kept here. Of words alone no standing follows: they
-    /// may name a few of many.
-    complete: bool,
-    held: StandingTracker,
+    /// The roster was complete at some time: it equalled another member's complete roster, was founded here,
+    /// or was loaded. Single entries aren't enough to derive a standing from; they may name a few of many
+    /// members.
+    roster_complete: bool,
+    standing_tracker: StandingTracker,
     impairment: Option<Impairment>,
-    /// What follows from members and roster is to be worked out anew.
+    /// Members or roster have changed, so `derived` has to be computed again.
     stale: bool,
-    seen: Seen,
-    /// When the next suspect ceases to count by time alone.
-    doubt_at: Option<Ms>,
-    looked_into: u64,
-    /// When suspects are next asked once more.
-    remind_at: Ms,
-    /// It is in the roster and knows all of it, as it says of itself.
-    is_in: bool,
-    /// Another process of its name goes on in its place.
-    succeeded: bool,
-    /// Those that ask to be taken in.
+    derived: Derived,
+    /// When the next suspect ceases to be counted merely by the passing of time.
+    next_discount_at: Option<Ms>,
+    last_disagreement_round: u64,
+    /// When suspects are pinged next.
+    next_reminder_at: Ms,
+    /// Whether this member is in the roster and knows all of it, as it reports to others.
+    in_roster: bool,
+    /// Another process continues under this name.
+    replaced: bool,
+    /// Members that asked to be admitted to the roster, with their addresses.
     joiners: BTreeMap<MemberId, SocketAddr>,
 }
 
-/// Those that were forgotten, with their last incarnations, the latest last.
+/// Members that were forgotten, with their last incarnations, oldest first.
 #[derive(Default)]
-struct Gone {
+struct ForgottenMembers {
     order: VecDeque<(MemberId, u32, Ms)>,
-    /// Of each the last.
+    /// The last incarnation of each.
     incarnations: BTreeMap<MemberId, u32>,
 }
 
-impl Gone {
-    fn push(&mut self, id: MemberId, incarnation: u32, until: Ms) {
+impl ForgottenMembers {
+    fn push(&mut self, id: MemberId, incarnation: u32, forget_at: Ms) {
         self.incarnations.insert(id.clone(), incarnation);
-        self.order.push_back((id, incarnation, until));
+        self.order.push_back((id, incarnation, forget_at));
     }
 
-    fn forget(&mut self, now: Ms) {
-        while self.order.front().is_some_and(|g| now >= g.2) || self.order.len() > REMEMBERED {
+    fn expire(&mut self, now: Ms) {
+        while self.order.front().is_some_and(|entry| now >= entry.2)
+            || self.order.len() > MAX_FORGOTTEN_MEMBERS
+        {
             let Some((id, incarnation, _)) = self.order.pop_front() else { return };
-            // It may have come back since, and gone again, with a higher one.
+            // The member may have come back since, and been forgotten again with a higher incarnation.
             if self.incarnations.get(&id) == Some(&incarnation) {
                 self.incarnations.remove(&id);
             }
@@ -199,23 +217,26 @@
     }
 }
 
-/// What followed from members and roster when it was last worked out.
-struct Seen {
+/// What was derived from members and roster when they last changed.
+struct Derived {
     view: Digests,
     roster: Digests,
-    /// One sum over each of these.
-    whole: (u32, u32),
+    /// The combined digests of `view` and `roster`.
+    combined: (u32, u32),
     standing: Standing,
-    /// Of those who are expected.
+    /// Expected names that are counted as present.
     present: usize,
     expected: usize,
 }
 
-pub type Out = Vec<(SocketAddr, Vec<u8>)>;
+/// Datagrams to send, with their recipients.
+pub type Datagrams = Vec<(SocketAddr, Vec<u8>)>;
 
 impl Node {
+    /// A member that knows nobody yet. `seed` drives its random choices.
     pub fn new(config: Config, id: MemberId, address: SocketAddr, version: &str, seed: u64, now: Ms) -> Node {
-        let version = if config.protocol_version > 1 { version_said(version) } else { version.to_string() };
+        let version =
+            if config.protocol_version > 1 { with_protocol_version(version) } else { version.to_string() };
         let mut node = Node {
             config,
             id,
@@ -224,183 +245,191 @@
             incarnation: 0,
             left: false,
             members: Members::default(),
-            gone: Gone::default(),
-            words: Words::default(),
-            agreed: 0,
-            turn: Vec::new(),
+            forgotten: ForgottenMembers::default(),
+            gossip: GossipQueue::default(),
+            agreeing_datagrams: 0,
+            probe_order: Vec::new(),
             probe: None,
-            errands: Vec::new(),
-            number: 0,
-            next: now,
+            relays: Vec::new(),
+            sequence: 0,
+            next_round_at: now,
             rounds: 0,
-            health: 0,
+            health_score: 0,
             random: Pcg32::seed_from_u64(seed),
             dropped: DropCounts::default(),
             roster: Roster::default(),
             roster_changed: false,
-            complete: false,
-            held: StandingTracker::new(now),
+            roster_complete: false,
+            standing_tracker: StandingTracker::new(now),
             impairment: None,
             stale: true,
-            seen: Seen {
+            derived: Derived {
                 view: Digests::default(),
                 roster: Digests::default(),
-                whole: (Digests::default().whole(), Digests::default().whole()),
+                combined: (Digests::default().combined(), Digests::default().combined()),
                 standing: Standing::Forming,
                 present: 0,
                 expected: 0,
             },
-            doubt_at: None,
-            looked_into: 0,
-            remind_at: now,
-            is_in: false,
-            succeeded: false,
+            next_discount_at: None,
+            last_disagreement_round: 0,
+            next_reminder_at: now,
+            in_roster: false,
+            replaced: false,
             joiners: BTreeMap::new(),
         };
-        // Those that start together don't go on in step.
-        node.next = now + node.below(node.config.interval.max(1));
-        node.count_own();
+        // Members that start together should not run in lockstep.
+        node.next_round_at = now + node.random_below(node.config.interval.max(1));
+        node.refresh_own_presence();
         node
     }
 
-    /// The same with a roster that was kept.
+    /// Starts with a roster that was stored.
     pub fn with_roster(mut self, roster: Roster) -> Node {
-        self.complete = roster.entries().next().is_some();
-        self.is_in = self.complete && roster.expects(&self.id.name);
+        self.roster_complete = roster.entries().next().is_some();
+        self.in_roster = self.roster_complete && roster.expects(&self.id.name);
         self.roster = roster;
-        self.roster.expected().for_each(|e| self.members.expect(&e.name, true));
-        self.count_own();
+        self.roster.expected().for_each(|e| self.members.set_expected(&e.name, true));
+        self.refresh_own_presence();
         self
     }
 
-    /// The own life counts, or does so no more.
-    fn count_own(&mut self) {
-        self.members.set_own(&self.id.name, !self.left, self.is_in && !self.left);
+    /// Updates the aggregates with this member's own presence.
+    fn refresh_own_presence(&mut self) {
+        self.members.set_own_presence(&self.id.name, !self.left, self.in_roster && !self.left);
     }
 
+    /// The member itself.
     pub fn id(&self) -> &MemberId {
         &self.id
     }
 
+    /// The roster as this member knows it.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Whether the roster has changed since this was last asked.
+    /// Whether the roster has changed since the last call and has to be stored.
     pub fn take_roster_changed(&mut self) -> bool {
-        self.complete && std::mem::take(&mut self.roster_changed)
+        self.roster_complete && std::mem::take(&mut self.roster_changed)
     }
 
-    /// The standing that counts, and its past.
+    /// The standing that is in force, and its history.
     pub fn standing(&self) -> &StandingTracker {
-        &self.held
+        &self.standing_tracker
     }
 
-    /// Whether it may take and keep a duty of the fleet: by its standing, its steadiness and its own work.
+    /// Whether this member may take and keep a duty of the fleet: it needs a majority, a stable standing, and
+    /// no impairment.
     pub fn may_act(&self, now: Ms) -> bool {
-        let steady = !self.held.is_damped(now, self.config.interval);
-        self.held.current.permissions().duties && steady && self.impairment.is_none()
+        let is_stable = !self.standing_tracker.is_damped(now, self.config.interval);
+        self.standing_tracker.current.permissions().hold_duties && is_stable && self.impairment.is_none()
     }
 
-    /// A change of the roster that is made here.
+    /// Makes a change to the roster.
     fn set_status(&mut self, name: &str, status: EntryStatus, address: SocketAddr) -> RosterEntry {
-        self.members.expect(name, status == EntryStatus::Expected);
+        self.members.set_expected(name, status == EntryStatus::Expected);
         self.roster.set(name, status, address)
     }
 
-    /// How many of those who are expected are present, and how many are expected.
+    /// The number of expected names that are present, and the number of expected names.
     pub fn counts(&self) -> (usize, usize) {
-        (self.seen.present, self.seen.expected)
+        (self.derived.present, self.derived.expected)
     }
 
-    /// Those who are expected and do not count as present.
+    /// The expected entries that don't count as present.
     pub fn missing(&self, now: Ms) -> impl Iterator<Item = &RosterEntry> {
-        let counting = self.counting(now);
-        self.roster.expected().filter(move |e| !counting.contains(e.name.as_str()))
+        let counted = self.counted_names(now);
+        self.roster.expected().filter(move |e| !counted.contains(e.name.as_str()))
     }
 
-    /// Those who are expected and not heard of.
-    fn unheard(&self) -> impl Iterator<Item = &RosterEntry> {
-        self.members.unheard().filter_map(|name| self.roster.get(name))
+    /// The expected entries of which no process is present.
+    fn absent_entries(&self) -> impl Iterator<Item = &RosterEntry> {
+        self.members.absent_names().filter_map(|name| self.roster.get(name))
     }
 
-    /// What keeps it from its work though it answers.
+    /// Sets what keeps this member from its work although it answers.
     pub fn set_impairment(&mut self, impairment: Option<Impairment>) {
         self.impairment = impairment;
     }
 
-    /// Another process goes on under its name: as this one leaves the name does not.
+    /// Another process continues under this name, so the name stays in the roster when this process leaves.
     pub fn set_replaced(&mut self) {
-        self.succeeded = true;
+        self.replaced = true;
     }
 
+    /// What keeps this member from its work, as set.
     pub fn impairment(&self) -> Option<Impairment> {
         self.impairment
     }
 
-    /// The other lives under this name that are thought to be there.
-    fn others_named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Member> {
-        self.members.named(name).map(|(_, m)| m).filter(|m| m.is_present())
+    /// Other processes of this name that are thought to be present.
+    fn others_with_name<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Member> {
+        self.members.with_name(name).map(|(_, m)| m).filter(|m| m.is_present())
     }
 
-    /// A suspect ceases to count once it has been one for so long.
-    fn doubt(&self) -> Ms {
-        COUNTS * self.least_suspicion()
+    /// How long a member may be suspect before it is no longer counted.
+    fn discount_delay(&self) -> Ms {
+        DISCOUNT_FACTOR * self.min_suspicion()
     }
 
-    /// Names that are there and, by their own word, in the roster.
-    fn counting(&self, now: Ms) -> BTreeSet<&str> {
-        let doubt = self.doubt();
-        let counts = |m: &Member| {
-            let doubted = m.state == MemberState::Suspect && now.saturating_sub(m.since) >= doubt;
-            m.is_present() && m.is_in == Some(true) && !doubted
+    /// Names that are present and, as they report themselves, in the roster.
+    fn counted_names(&self, now: Ms) -> BTreeSet<&str> {
+        let discount_delay = self.discount_delay();
+        let is_counted = |m: &Member| {
+            let is_discounted =
+                m.state == MemberState::Suspect && now.saturating_sub(m.since) >= discount_delay;
+            m.is_present() && m.in_roster == Some(true) && !is_discounted
         };
-        let others = self.members.iter().filter(|(_, m)| counts(m)).map(|(id, _)| id.name.as_str());
-        let own = (self.is_in && !self.left).then_some(self.id.name.as_str());
+        let others = self.members.iter().filter(|(_, m)| is_counted(m)).map(|(id, _)| id.name.as_str());
+        let own = (self.in_roster && !self.left).then_some(self.id.name.as_str());
         others.chain(own).collect()
     }
 
+    /// The member's own incarnation.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
+    /// The health score: 0 is best.
     pub fn health_score(&self) -> u64 {
-        self.health
+        self.health_score
     }
 
-    /// Everybody that is known, itself first.
+    /// All known members, this one first.
     pub fn members(&self, now: Ms) -> Vec<MemberView> {
         let own = MemberView {
             id: self.id.clone(),
             address: self.address,
-            version: version_read(&self.version).0.to_string(),
+            version: split_protocol_version(&self.version).0.to_string(),
             state: if self.left { MemberState::Left } else { MemberState::Alive },
             incarnation: self.incarnation,
             for_ms: 0,
             by: self.id.name.clone(),
             conflicts: self.conflicts(&self.id, now),
             expected: self.roster.expects(&self.id.name),
-            standing: Some(self.held.current),
+            standing: Some(self.standing_tracker.current),
             impairment: self.impairment,
             differs_ms: None,
         };
         let others = self.members.iter().map(|(id, m)| MemberView {
             id: id.clone(),
             address: m.address,
-            version: version_read(&m.version).0.to_string(),
+            version: split_protocol_version(&m.version).0.to_string(),
             state: m.state,
             incarnation: m.incarnation,
             for_ms: now.saturating_sub(m.since),
             by: m.by.clone(),
             conflicts: self.conflicts(id, now),
             expected: self.roster.expects(&id.name),
-            standing: m.heard.filter(|_| m.is_present()).map(|h| h.standing),
-            impairment: m.heard.filter(|_| m.is_present()).and_then(|h| h.impairment),
-            differs_ms: m.differs.filter(|_| m.is_present()).map(|since| now.saturating_sub(since)),
+            standing: m.summary.filter(|_| m.is_present()).map(|summary| summary.standing),
+            impairment: m.summary.filter(|_| m.is_present()).and_then(|summary| summary.impairment),
+            differs_ms: m.differs_since.filter(|_| m.is_present()).map(|since| now.saturating_sub(since)),
         });
         std::iter::once(own).chain(others).collect()
     }
 
+    /// The state of a member, this one included; None if it is unknown or forgotten.
     pub fn state_of(&self, id: &MemberId) -> Option<MemberState> {
         if *id == self.id {
             return Some(if self.left { MemberState::Left } else { MemberState::Alive });
@@ -408,66 +437,74 @@
         self.members.get(id).map(|m| m.state)
     }
 
-    /// Another process has its name too, and has had it for longer than an upgrade takes.
+    /// Whether another process has had the same name for longer than an upgrade takes.
     pub fn has_name_conflict(&self, now: Ms) -> bool {
         self.conflicts(&self.id, now)
     }
 
+    /// Whether another process of the member's name has been present for as long as `conflict_after`.
     fn conflicts(&self, id: &MemberId, now: Ms) -> bool {
-        let lasting = |other: &MemberId| match self.members.get(other) {
-            Some(m) => m.is_present() && now.saturating_sub(m.known) >= self.config.conflict_after,
+        let is_established = |other: &MemberId| match self.members.get(other) {
+            Some(m) => m.is_present() && now.saturating_sub(m.first_seen) >= self.config.conflict_after,
             None => *other == self.id && !self.left,
         };
         let own = std::iter::once(&self.id).filter(|own| own.name == id.name);
-        let lives = || self.members.named(&id.name).map(|(other, _)| other).chain(own.clone());
-        lasting(id) && lives().any(|other| other != id && lasting(other))
+        let namesakes = || self.members.with_name(&id.name).map(|(other, _)| other).chain(own.clone());
+        is_established(id) && namesakes().any(|other| other != id && is_established(other))
     }
 
     /// When `tick` must be called at the latest.
     pub fn next_deadline(&self) -> Ms {
-        let probe = self.probe.as_ref().filter(|p| !p.asked_others && !p.answered);
-        let early = probe.map_or(Ms::MAX, |p| p.at + self.patience());
-        let errand = self.errands.iter().map(|e| e.until).min().unwrap_or(Ms::MAX);
-        let ends = self.members.first_suspects().map(|(confirmed, since)| since + self.suspicion(confirmed));
-        let over = ends.min().map(|end| end.min(self.remind_at));
-        self.next.min(early).min(errand).min(over.unwrap_or(Ms::MAX))
-    }
-
-    fn below(&mut self, n: u64) -> u64 {
+        let probe = self.probe.as_ref().filter(|p| !p.sent_indirect && !p.answered);
+        let probe_deadline = probe.map_or(Ms::MAX, |p| p.started_at + self.probe_timeout());
+        let relay_deadline = self.relays.iter().map(|ping| ping.deadline).min().unwrap_or(Ms::MAX);
+        let suspicion_ends = self
+            .members
+            .oldest_suspects()
+            .map(|(confirmations, since)| since + self.suspicion_timeout(confirmations));
+        let suspicion_deadline = suspicion_ends.min().map(|end| end.min(self.next_reminder_at));
+        self.next_round_at.min(probe_deadline).min(relay_deadline).min(suspicion_deadline.unwrap_or(Ms::MAX))
+    }
+
+    fn random_below(&mut self, n: u64) -> u64 {
         self.random.random_range(0..n.max(1))
     }
 
-    /// How often a word is passed on.
-    fn passed_on(&self) -> u32 {
-        (PASSED_ON * ((self.members.present() + 2) as f64).log2()).ceil() as u32
+    /// How often an update is sent before it is discarded.
+    fn gossip_limit(&self) -> u32 {
+        (GOSSIP_FACTOR * ((self.members.present_count() + 2) as f64).log2()).ceil() as u32
     }
 
-    fn patience(&self) -> Ms {
-        self.config.timeout * (1 + self.health)
+    /// How long an answer may take, given the health score.
+    fn probe_timeout(&self) -> Ms {
+        self.config.timeout * (1 + self.health_score)
     }
 
-    fn interval(&self) -> Ms {
-        self.config.interval * (1 + self.health)
+    /// The length of a round, given the health score.
+    fn round_interval(&self) -> Ms {
+        self.config.interval * (1 + self.health_score)
     }
 
-    fn least_suspicion(&self) -> Ms {
-        let size = (self.members.present() + 1) as f64;
-        (SUSPICION * size.log10().max(1.0) * self.config.interval as f64) as Ms
+    /// How long a suspicion lasts at least, given the fleet's size.
+    fn min_suspicion(&self) -> Ms {
+        let size = (self.members.present_count() + 1) as f64;
+        (MIN_SUSPICION_FACTOR * size.log10().max(1.0) * self.config.interval as f64) as Ms
     }
 
-    /// How long a member may be suspect: the more have confirmed it, the shorter.
-    fn suspicion(&self, confirmed: usize) -> Ms {
-        let least = self.least_suspicion() as f64;
-        let others = self.members.present().saturating_sub(1).min(CONFIRMED);
+    /// How long a member may be suspect. Each confirmation by another member shortens that.
+    fn suspicion_timeout(&self, confirmations: usize) -> Ms {
+        let min_suspicion = self.min_suspicion() as f64;
+        let others = self.members.present_count().saturating_sub(1).min(MAX_CONFIRMATIONS);
         if others == 0 {
-            return least as Ms;
+            return min_suspicion as Ms;
         }
-        let said = confirmed.min(others);
-        let part = ((said + 1) as f64).ln() / ((others + 1) as f64).ln();
-        (least * (UNCONFIRMED - (UNCONFIRMED - 1.0) * part)) as Ms
+        let confirmations = confirmations.min(others);
+        let fraction = ((confirmations + 1) as f64).ln() / ((others + 1) as f64).ln();
+        (min_suspicion * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * fraction)) as Ms
     }
 
-    fn own(&self) -> MemberUpdate {
+    /// This member's update about itself.
+    fn own_update(&self) -> MemberUpdate {
         MemberUpdate {
             id: self.id.clone(),
             state: if self.left { MemberState::Left } else { MemberState::Alive },
@@ -475,11 +512,12 @@
             version: self.version.clone(),
             incarnation: self.incarnation,
             by: self.id.name.clone(),
-            is_in: Some(self.is_in),
+            in_roster: Some(self.in_roster),
         }
     }
 
-    fn update(&self, id: &MemberId) -> Option<MemberUpdate> {
+    /// The update about a known member.
+    fn update_about(&self, id: &MemberId) -> Option<MemberUpdate> {
         let m = self.members.get(id)?;
         let (state, address, incarnation) = (m.state, m.address, m.incarnation);
         Some(MemberUpdate {
@@ -489,548 +527,610 @@
             incarnation,
             version: m.version.clone(),
             by: m.by.clone(),
-            is_in: m.is_in,
+            in_roster: m.in_roster,
         })
     }
 
-    /// What it makes of the fleet, for one who understands that.
-    fn said(&self, to: SocketAddr) -> Option<Said> {
-        let (view, roster) = self.seen.whole;
-        let (standing, expects, latest) =
-            (self.held.current, self.seen.expected > 0, self.roster.latest_epoch());
-        let (complete, impairment) = (self.complete, self.impairment);
-        let said = Said { view, roster, latest, standing, expects, complete, impairment };
-        (self.config.protocol_version > 1 && self.members.speaks_second_form(to)).then_some(said)
+    /// This member's view of the fleet in short, for a recipient that understands it.
+    fn summary_for(&self, to: SocketAddr) -> Option<FleetSummary> {
+        let (view_digest, roster_digest) = self.derived.combined;
+        let (standing, has_expected, latest_epoch) =
+            (self.standing_tracker.current, self.derived.expected > 0, self.roster.latest_epoch());
+        let (roster_complete, impairment) = (self.roster_complete, self.impairment);
+        let summary = FleetSummary {
+            view_digest,
+            roster_digest,
+            latest_epoch,
+            standing,
+            has_expected,
+            roster_complete,
+            impairment,
+        };
+        (self.config.protocol_version > 1 && self.members.speaks_version_2(to)).then_some(summary)
     }
 
-    fn write<U: Borrow<MemberUpdate>>(
+    /// Encodes a datagram and returns how many of the updates fitted.
+    fn push_datagram<U: Borrow<MemberUpdate>>(
         &self,
         to: SocketAddr,
         body: &Body,
         updates: impl Iterator<Item = U>,
-        out: &mut Out,
+        datagrams: &mut Datagrams,
     ) -> usize {
-        let (bytes, count) = encode(self.config.fleet, self.said(to).as_ref(), body, updates);
-        out.push((to, bytes));
+        let (bytes, count) = encode(self.config.fleet, self.summary_for(to).as_ref(), body, updates);
+        datagrams.push((to, bytes));
         count
     }
 
-    /// A datagram with nothing beside but its own word of itself.
-    fn say(&self, to: SocketAddr, body: &Body, out: &mut Out) {
-        self.write(to, body, std::iter::once(self.own()), out);
+    /// Sends a datagram with no update but this member's own.
+    fn send_plain(&self, to: SocketAddr, body: &Body, datagrams: &mut Datagrams) {
+        self.push_datagram(to, body, std::iter::once(self.own_update()), datagrams);
     }
 
-    /// A datagram with the words that were passed on least; one about its receiver always goes along.
-    fn send(&mut self, to: SocketAddr, body: Body, about: Option<&MemberId>, out: &mut Out) {
-        let told: Vec<MemberId> = {
-            let others = self.words.in_order().filter(|id| Some(*id) != about);
+    /// Sends a datagram with the updates that were sent least often. An update about the recipient always
+    /// goes along.
+    fn send(&mut self, to: SocketAddr, body: Body, about: Option<&MemberId>, datagrams: &mut Datagrams) {
+        let sent: Vec<MemberId> = {
+            let others = self.gossip.in_order().filter(|id| Some(*id) != about);
             let order = || about.into_iter().chain(others.clone());
-            let updates = std::iter::once(self.own()).chain(order().filter_map(|id| self.update(id)));
-            let count = self.write(to, &body, updates, out);
+            let updates =
+                std::iter::once(self.own_update()).chain(order().filter_map(|id| self.update_about(id)));
+            let count = self.push_datagram(to, &body, updates, datagrams);
             let known = order().filter(|id| self.members.get(id).is_some());
             known.take(count.saturating_sub(1)).cloned().collect()
         };
-        let most = self.passed_on();
-        told.iter().for_each(|id| self.words.pass_on(id, most));
+        let limit = self.gossip_limit();
+        sent.iter().for_each(|id| self.gossip.record_sent(id, limit));
     }
 
-    /// All that is known, in as many datagrams as it takes; only the first asks for the same.
-    fn sync(&mut self, to: SocketAddr, wants: bool, out: &mut Out) {
-        self.tell(to, wants, |_| true, out);
+    /// Sends all known members, in as many datagrams as needed. Only the first may ask for the same in
+    /// return.
+    fn send_all_members(&mut self, to: SocketAddr, wants_reply: bool, datagrams: &mut Datagrams) {
+        self.send_members(to, wants_reply, |_| true, datagrams);
     }
 
-    /// What is known of these members, and at least its own word.
-    fn tell(&self, to: SocketAddr, wants: bool, which: impl Fn(&MemberId) -> bool, out: &mut Out) {
-        let own = self.own();
-        let all: Vec<MemberUpdate> =
-            self.members.iter().filter(|(id, _)| which(id)).filter_map(|(id, _)| self.update(id)).collect();
-        let (mut rest, mut wants) = (&all[..], wants);
+    /// Sends the matching members, and in any case the own update.
+    fn send_members(
+        &self,
+        to: SocketAddr,
+        wants_reply: bool,
+        matches: impl Fn(&MemberId) -> bool,
+        datagrams: &mut Datagrams,
+    ) {
+        let own = self.own_update();
+        let all: Vec<MemberUpdate> = self
+            .members
+            .iter()
+            .filter(|(id, _)| matches(id))
+            .filter_map(|(id, _)| self.update_about(id))
+            .collect();
+        let (mut remaining, mut wants_reply) = (&all[..], wants_reply);
         loop {
-            let part = std::iter::once(&own).chain(rest);
-            let count = self.write(to, &Body::Sync { wants }, part, out);
-            rest = &rest[count.saturating_sub(1).min(rest.len())..];
-            wants = false;
-            if rest.is_empty() {
+            let updates = std::iter::once(&own).chain(remaining);
+            let count = self.push_datagram(to, &Body::Sync { wants_reply }, updates, datagrams);
+            remaining = &remaining[count.saturating_sub(1).min(remaining.len())..];
+            wants_reply = false;
+            if remaining.is_empty() {
                 return;
             }
         }
     }
 
-    /// Asks one who may not know of it for all that it knows.
-    fn hail(&self, to: SocketAddr, out: &mut Out) {
-        self.say(to, &Body::Sync { wants: true }, out);
+    /// Asks a recipient that may not know this member for all that it knows.
+    fn request_sync(&self, to: SocketAddr, datagrams: &mut Datagrams) {
+        self.send_plain(to, &Body::Sync { wants_reply: true }, datagrams);
     }
 
-    /// Sums of what is known, to find out what is known otherwise.
-    fn ranges(&self, to: SocketAddr, wants: bool, out: &mut Out) {
-        let (view, roster) = (Box::new(self.seen.view), Box::new(self.seen.roster));
-        self.say(to, &Body::Ranges { wants, view, roster }, out);
+    /// Sends digests of the known state, so that the recipient finds out what differs.
+    fn send_digests(&self, to: SocketAddr, wants_reply: bool, datagrams: &mut Datagrams) {
+        let (view, roster) = (Box::new(self.derived.view), Box::new(self.derived.roster));
+        self.send_plain(to, &Body::Digests { wants_reply, view, roster }, datagrams);
     }
 
-    /// Tells what another, by its sums, knows otherwise.
-    fn tell_apart(&self, to: SocketAddr, view: &Digests, roster: &Digests, out: &mut Out) {
-        let other = |mine: &Digests, theirs: &Digests| {
+    /// Sends what differs from another member's digests.
+    fn send_differences(&self, to: SocketAddr, view: &Digests, roster: &Digests, datagrams: &mut Datagrams) {
+        let differing = |mine: &Digests, theirs: &Digests| {
             let (mine, theirs) = (*mine, *theirs);
-            move |name: &str| mine.differs(&theirs, digest::range(name))
+            move |name: &str| mine.differs(&theirs, digest::range_of(name))
         };
-        if self.seen.view != *view {
-            let differs = other(&self.seen.view, view);
-            self.tell(to, false, |id| differs(&id.name), out);
+        if self.derived.view != *view {
+            let differs = differing(&self.derived.view, view);
+            self.send_members(to, false, |id| differs(&id.name), datagrams);
         }
-        let differs = other(&self.seen.roster, roster);
+        let differs = differing(&self.derived.roster, roster);
         let entries: Vec<RosterEntry> = self.roster.entries().filter(|e| differs(&e.name)).cloned().collect();
-        for part in entries.chunks(ENTRIES) {
-            self.say(to, &Body::Roster(part.to_vec()), out);
+        for part in entries.chunks(MAX_ROSTER_ENTRIES) {
+            self.send_plain(to, &Body::Roster(part.to_vec()), datagrams);
         }
     }
 
-    /// Some of those that fit, by chance.
-    fn pick(&mut self, n: usize, fits: impl Fn(&MemberId, &Member) -> bool) -> Vec<(MemberId, SocketAddr)> {
-        let fit = self.members.iter().filter(|(id, m)| fits(id, m));
-        let all: Vec<(&MemberId, SocketAddr)> = fit.map(|(id, m)| (id, m.address)).collect();
-        let picked = draw(&mut self.random, n, all.len());
+    /// Some of the matching members, at random.
+    fn pick_random(
+        &mut self,
+        count: usize,
+        matches: impl Fn(&MemberId, &Member) -> bool,
+    ) -> Vec<(MemberId, SocketAddr)> {
+        let matching = self.members.iter().filter(|(id, m)| matches(id, m));
+        let all: Vec<(&MemberId, SocketAddr)> = matching.map(|(id, m)| (id, m.address)).collect();
+        let picked = sample_indices(&mut self.random, count, all.len());
         picked.into_iter().map(|i| (all[i].0.clone(), all[i].1)).collect()
     }
 
-    /// Some of a state by chance, but this one.
-    fn pick_of(
+    /// Some of the members in a state, at random, except one.
+    fn pick_in_state(
         &mut self,
-        n: usize,
+        count: usize,
         state: MemberState,
-        but: Option<&MemberId>,
+        except: Option<&MemberId>,
     ) -> Vec<(MemberId, SocketAddr)> {
-        let all = self.members.of_state(state);
-        let skipped = but.and_then(|id| all.binary_search(id).ok());
-        let picked = draw(&mut self.random, n, all.len() - usize::from(skipped.is_some()));
+        let all = self.members.in_state(state);
+        let skipped = except.and_then(|id| all.binary_search(id).ok());
+        let picked = sample_indices(&mut self.random, count, all.len() - usize::from(skipped.is_some()));
         let id = |i: usize| &all[i + usize::from(skipped.is_some_and(|s| i >= s))];
         let address = |id: &MemberId| self.members.get(id).map(|m| (id.clone(), m.address));
         picked.into_iter().filter_map(|i| address(id(i))).collect()
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Ms, out: &mut Out) {
-        self.errands_over(now, out);
-        self.suspicions_over(now);
-        self.stale |= self.doubt_at.is_some_and(|at| now >= at);
-        self.look(now);
+    /// Does everything that is due.
+    pub fn tick(&mut self, now: Ms, datagrams: &mut Datagrams) {
+        self.expire_relays(now, datagrams);
+        self.expire_suspicions(now);
+        self.stale |= self.next_discount_at.is_some_and(|at| now >= at);
+        self.refresh(now);
         if self.left {
-            self.next = now + self.config.interval;
+            self.next_round_at = now + self.config.interval;
             return;
         }
-        if let Some(probe) = self.probe.as_ref().filter(|p| !p.asked_others && !p.answered) {
-            if now >= probe.at + self.patience() {
-                self.ask_others(out);
+        if let Some(probe) = self.probe.as_ref().filter(|p| !p.sent_indirect && !p.answered) {
+            if now >= probe.started_at + self.probe_timeout() {
+                self.request_indirect_pings(datagrams);
             }
         }
-        if now >= self.remind_at {
-            self.remind_at = now + self.config.timeout;
-            self.remind(out);
+        if now >= self.next_reminder_at {
+            self.next_reminder_at = now + self.config.timeout;
+            self.remind_suspects(datagrams);
         }
-        if now < self.next {
+        if now < self.next_round_at {
             return;
         }
-        self.probe_over(now);
-        self.forget(now);
-        // A member that was stopped for long goes on from here, not through all that it missed.
-        self.next = now + self.interval();
+        self.finish_probe(now);
+        self.forget_ended(now);
+        // A member that was stopped for long continues from here and doesn't catch up on missed rounds.
+        self.next_round_at = now + self.round_interval();
         self.rounds += 1;
-        self.ask_next(now, out);
-        self.compare(out);
-        self.join(out);
-        self.ask_untold(out);
-        self.admit_next(now, out);
-        self.poll(out);
-        self.look(now);
+        self.probe_next(now, datagrams);
+        self.exchange_state(datagrams);
+        self.request_join(datagrams);
+        self.query_roster_status(datagrams);
+        self.admit_next(now, datagrams);
+        self.poll_members(datagrams);
+        self.refresh(now);
     }
 
-    /// Works out what follows from members and roster, where they have changed, and how it stands by that.
-    fn look(&mut self, now: Ms) {
+    /// Derives the standing again if members or roster have changed, and lets it take effect.
+    fn refresh(&mut self, now: Ms) {
         if std::mem::take(&mut self.stale) {
-            let mut view = self.members.view();
+            let mut view = self.members.view_digests();
             if !self.left {
-                view.add(&self.id.name, life_digest(&self.id));
+                view.add(&self.id.name, member_digest(&self.id));
             }
-            let is_in = self.complete && self.roster.expects(&self.id.name);
-            if is_in != self.is_in {
-                // News that others must hear.
-                (self.is_in, self.incarnation) = (is_in, self.incarnation.saturating_add(1));
+            let in_roster = self.roster_complete && self.roster.expects(&self.id.name);
+            if in_roster != self.in_roster {
+                // Others must learn of the change, so it gets a new incarnation.
+                (self.in_roster, self.incarnation) = (in_roster, self.incarnation.saturating_add(1));
             }
-            self.count_own();
-            self.doubt_until(now);
-            self.doubt_at = self.members.next_doubt().map(|since| since + self.doubt());
-            let (present, expected) = (self.members.counting(), self.roster.count());
-            let standing = Standing::of(is_in, present, expected);
+            self.refresh_own_presence();
+            self.discount_suspects(now);
+            self.next_discount_at =
+                self.members.next_discounted_since().map(|since| since + self.discount_delay());
+            let (present, expected) = (self.members.counted(), self.roster.expected_count());
+            let standing = Standing::of(in_roster, present, expected);
             let roster = self.roster.digests();
-            let whole = (view.whole(), roster.whole());
-            if whole != self.seen.whole {
-                self.agreed = 0;
+            let combined = (view.combined(), roster.combined());
+            if combined != self.derived.combined {
+                self.agreeing_datagrams = 0;
             }
-            self.seen = Seen { view, roster, whole, standing, present, expected };
+            self.derived = Derived { view, roster, combined, standing, present, expected };
         }
-        let behind = self.members.latest() > Some(self.roster.latest_epoch());
-        self.held.observe(self.seen.standing, behind, now, self.config.interval);
+        let behind = self.members.latest_roster_epoch() > Some(self.roster.latest_epoch());
+        self.standing_tracker.observe(self.derived.standing, behind, now, self.config.interval);
     }
 
-    /// By now those that have been suspect for long count no more.
-    fn doubt_until(&mut self, now: Ms) {
-        self.members.doubt(now.checked_sub(self.doubt()));
+    /// Members that have been suspect for long cease to be counted.
+    fn discount_suspects(&mut self, now: Ms) {
+        self.members.discount_suspects_since(now.checked_sub(self.discount_delay()));
     }
 
-    /// Who is suspect is asked far more often than others: if it lives it hears of it, and says so.
-    fn remind(&mut self, out: &mut Out) {
-        for (id, at) in self.pick_of(REMINDED, MemberState::Suspect, None) {
-            self.number = self.number.wrapping_add(1);
-            // What is passed on goes to those that are heard: it would be used up on one that is dead.
-            let (body, own) = (Body::Ping { number: self.number, to: id.clone() }, self.own());
-            let about = self.update(&id);
-            self.write(at, &body, std::iter::once(own).chain(about), out);
+    /// Pings suspects far more often than other members: one that lives learns of the suspicion and refutes
+    /// it.
+    fn remind_suspects(&mut self, datagrams: &mut Datagrams) {
+        for (id, address) in self.pick_in_state(SUSPECTS_PER_REMINDER, MemberState::Suspect, None) {
+            self.sequence = self.sequence.wrapping_add(1);
+            // Gossip is spent only on members that answer; on a dead one it would be used up in vain.
+            let (body, own) = (Body::Ping { sequence: self.sequence, target: id.clone() }, self.own_update());
+            let about = self.update_about(&id);
+            self.push_datagram(address, &body, std::iter::once(own).chain(about), datagrams);
         }
     }
 
-    fn ask_untold(&mut self, out: &mut Out) {
-        let untold = self.members.untold();
-        let drawn = draw(&mut self.random, ASKED, untold.len());
-        let asked: Vec<MemberId> = drawn.into_iter().filter_map(|i| untold.iter().nth(i).cloned()).collect();
-        for id in asked {
-            let Some(at) = self.members.get(&id).map(|m| m.address) else { continue };
-            self.number = self.number.wrapping_add(1);
-            self.say(at, &Body::Ping { number: self.number, to: id }, out);
+    /// Pings members whose roster status is unknown.
+    fn query_roster_status(&mut self, datagrams: &mut Datagrams) {
+        let unknown = self.members.unknown_roster_status();
+        let sampled = sample_indices(&mut self.random, ROSTER_QUERIES_PER_ROUND, unknown.len());
+        let recipients: Vec<MemberId> =
+            sampled.into_iter().filter_map(|i| unknown.iter().nth(i).cloned()).collect();
+        for id in recipients {
+            let Some(address) = self.members.get(&id).map(|m| m.address) else { continue };
+            self.sequence = self.sequence.wrapping_add(1);
+            self.send_plain(address, &Body::Ping { sequence: self.sequence, target: id }, datagrams);
         }
     }
 
-    fn ask_next(&mut self, now: Ms, out: &mut Out) {
-        let (id, at) = loop {
-            if self.turn.is_empty() {
-                self.turn =
+    /// Pings the next member in turn.
+    fn probe_next(&mut self, now: Ms, datagrams: &mut Datagrams) {
+        let (id, address) = loop {
+            if self.probe_order.is_empty() {
+                self.probe_order =
                     self.members.iter().filter(|(_, m)| m.is_present()).map(|(i, _)| i.clone()).collect();
-                for i in (1..self.turn.len()).rev() {
-                    let j = self.below(i as u64 + 1) as usize;
-                    self.turn.swap(i, j);
+                for i in (1..self.probe_order.len()).rev() {
+                    let j = self.random_below(i as u64 + 1) as usize;
+                    self.probe_order.swap(i, j);
                 }
             }
-            let Some(id) = self.turn.pop() else { return };
+            let Some(id) = self.probe_order.pop() else { return };
             if let Some(member) = self.members.get(&id).filter(|m| m.is_present()) {
                 break (id, member.address);
             }
         };
-        self.number = self.number.wrapping_add(1);
-        let number = self.number;
+        self.sequence = self.sequence.wrapping_add(1);
+        let sequence = self.sequence;
         self.probe = Some(Probe {
             id: id.clone(),
-            number,
-            at: now,
-            asked_others: false,
+            sequence,
+            started_at: now,
+            sent_indirect: false,
             helpers: 0,
             nacks: 0,
             answered: false,
         });
-        // One that is suspect hears of it first from whoever asks.
-        self.send(at, Body::Ping { number, to: id.clone() }, Some(&id), out);
+        // A suspect learns of the suspicion first from the member that probes it.
+        self.send(address, Body::Ping { sequence, target: id.clone() }, Some(&id), datagrams);
     }
 
-    fn ask_others(&mut self, out: &mut Out) {
-        let Some((id, number)) = self.probe.as_mut().map(|p| {
-            p.asked_others = true;
-            (p.id.clone(), p.number)
+    /// Asks helpers to ping the target of the current probe.
+    fn request_indirect_pings(&mut self, datagrams: &mut Datagrams) {
+        let Some((id, sequence)) = self.probe.as_mut().map(|p| {
+            p.sent_indirect = true;
+            (p.id.clone(), p.sequence)
         }) else {
             return;
         };
-        let Some(at) = self.members.get(&id).map(|m| m.address) else { return };
-        let helpers = self.pick_of(HELPERS, MemberState::Alive, Some(&id));
+        let Some(address) = self.members.get(&id).map(|m| m.address) else { return };
+        let helpers = self.pick_in_state(INDIRECT_PROBES, MemberState::Alive, Some(&id));
         if let Some(probe) = &mut self.probe {
             probe.helpers = helpers.len();
         }
         for (_, helper) in helpers {
-            self.send(helper, Body::Ask { number, of: id.clone(), at }, None, out);
+            self.send(helper, Body::PingRequest { sequence, target: id.clone(), address }, None, datagrams);
         }
     }
 
-    /// The interval of a probe is over.
-    fn probe_over(&mut self, now: Ms) {
+    /// Evaluates the probe at the end of its round.
+    fn finish_probe(&mut self, now: Ms) {
         let Some(probe) = self.probe.take() else { return };
         if probe.answered {
-            self.health = self.health.saturating_sub(1);
+            self.health_score = self.health_score.saturating_sub(1);
             return;
         }
-        // Helpers that say nothing at all make it likely that the fault is here.
-        let silent = probe.helpers.saturating_sub(probe.nacks) as u64;
-        self.health = (self.health + if probe.helpers > 0 { silent } else { 1 }).min(WORST);
-        if let Some(update) = self.update(&probe.id) {
+        // Helpers that don't reply at all make a fault on this side likely.
+        let silent_helpers = probe.helpers.saturating_sub(probe.nacks) as u64;
+        self.health_score =
+            (self.health_score + if probe.helpers > 0 { silent_helpers } else { 1 }).min(MAX_HEALTH_SCORE);
+        if let Some(update) = self.update_about(&probe.id) {
             let update = MemberUpdate { state: MemberState::Suspect, by: self.id.name.clone(), ..update };
-            self.apply(update, now);
+            self.apply_update(update, now);
         }
     }
 
-    fn errands_over(&mut self, now: Ms, out: &mut Out) {
-        let (over, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.errands).into_iter().partition(|e| now >= e.until);
-        self.errands = rest;
-        for errand in over {
-            self.send(errand.for_whom, Body::Nack { number: errand.theirs }, None, out);
+    /// Reports to the requesters that the targets did not answer.
+    fn expire_relays(&mut self, now: Ms, datagrams: &mut Datagrams) {
+        let (expired, pending): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.relays).into_iter().partition(|ping| now >= ping.deadline);
+        self.relays = pending;
+        for relayed in expired {
+            self.send(
+                relayed.requester,
+                Body::Nack { sequence: relayed.requester_sequence },
+                None,
+                datagrams,
+            );
         }
     }
 
-    fn suspicions_over(&mut self, now: Ms) {
-        let over = self.members.suspects_over(now, |confirmed| self.suspicion(confirmed));
-        for id in over {
-            if let Some(update) = self.update(&id) {
+    /// Declares suspects failed whose timeout is over.
+    fn expire_suspicions(&mut self, now: Ms) {
+        let expired =
+            self.members.expired_suspects(now, |confirmations| self.suspicion_timeout(confirmations));
+        for id in expired {
+            if let Some(update) = self.update_about(&id) {
                 let by = self.id.name.clone();
-                self.apply(MemberUpdate { state: MemberState::Failed, by, ..update }, now);
+                self.apply_update(MemberUpdate { state: MemberState::Failed, by, ..update }, now);
             }
         }
     }
 
-    fn forget(&mut self, now: Ms) {
-        let ended =
-            now.checked_sub(self.config.forget_after).map_or(Vec::new(), |until| self.members.ended(until));
+    /// Forgets members that failed or left long ago.
+    fn forget_ended(&mut self, now: Ms) {
+        let ended = now
+            .checked_sub(self.config.forget_after)
+            .map_or(Vec::new(), |ended_by| self.members.ended(ended_by));
         for id in ended {
             if let Some(m) = self.members.remove(&id) {
                 self.stale = true;
-                self.words.remove(&id);
-                self.gone.push(id, m.incarnation, now + 10 * self.config.forget_after);
+                self.gossip.remove(&id);
+                self.forgotten.push(id, m.incarnation, now + 10 * self.config.forget_after);
             }
         }
-        self.gone.forget(now);
+        self.forgotten.expire(now);
     }
 
-    /// Now and then what is known is compared with one other, and one that is not heard of is looked for: two parts of a
-    /// fleet that could not hear each other find together by that. A start asks its seeds, and those who are expected,
-    /// until it is heard.
-    fn compare(&mut self, out: &mut Out) {
-        if self.members.present() == 0 {
+    /// Compares the state with one other member now and then, and contacts one absent member, so that
+    /// partitions that could not reach each other merge again. A member without any contact asks its seeds
+    /// and the expected members until one answers.
+    fn exchange_state(&mut self, datagrams: &mut Datagrams) {
+        if self.members.present_count() == 0 {
             let seeds: Vec<SocketAddr> =
                 self.config.seeds.iter().copied().filter(|s| *s != self.address).collect();
-            seeds.into_iter().for_each(|seed| self.hail(seed, out));
-            self.look_for(LOOKED_FOR, out);
+            seeds.into_iter().for_each(|seed| self.request_sync(seed, datagrams));
+            self.contact_absent(ABSENT_CONTACTS_PER_ROUND, datagrams);
         }
-        if !self.rounds.is_multiple_of(COMPARE) {
+        if !self.rounds.is_multiple_of(EXCHANGE_ROUNDS) {
             return;
         }
-        for (id, at) in self.pick_of(1, MemberState::Alive, None) {
-            match self.members.get(&id).map(|m| (m.protocol_version(), m.heard)) {
-                Some((2.., heard)) if self.agrees(heard) => {}
-                Some((2.., _)) => self.ranges(at, true, out),
-                _ => self.sync(at, true, out),
+        for (id, address) in self.pick_in_state(1, MemberState::Alive, None) {
+            match self.members.get(&id).map(|m| (m.protocol_version(), m.summary)) {
+                Some((2.., summary)) if self.agrees(summary) => {}
+                Some((2.., _)) => self.send_digests(address, true, datagrams),
+                _ => self.send_all_members(address, true, datagrams),
             }
         }
-        for (id, at) in self.pick_of(1, MemberState::Failed, None) {
+        for (id, address) in self.pick_in_state(1, MemberState::Failed, None) {
             match self.members.get(&id).map(Member::protocol_version) {
-                Some(2..) => self.ranges(at, true, out),
-                _ => self.hail(at, out),
+                Some(2..) => self.send_digests(address, true, datagrams),
+                _ => self.request_sync(address, datagrams),
             }
         }
-        let is_lost = |seed: &SocketAddr| *seed != self.address && !self.members.is_present_at(*seed);
-        let lost: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(is_lost).collect();
-        if !lost.is_empty() {
-            let at = lost[self.below(lost.len() as u64) as usize];
-            self.hail(at, out);
+        let is_absent = |seed: &SocketAddr| *seed != self.address && !self.members.is_address_present(*seed);
+        let absent_seeds: Vec<SocketAddr> = self.config.seeds.iter().copied().filter(is_absent).collect();
+        if !absent_seeds.is_empty() {
+            let address = absent_seeds[self.random_below(absent_seeds.len() as u64) as usize];
+            self.request_sync(address, datagrams);
         }
-        self.look_for(1, out);
+        self.contact_absent(1, datagrams);
     }
 
-    /// Hails some of those who are expected and not heard of, where they were last.
-    fn look_for(&mut self, count: usize, out: &mut Out) {
+    /// Asks some of the expected but absent members for their state, at their last known addresses.
+    fn contact_absent(&mut self, count: usize, datagrams: &mut Datagrams) {
         let mut all: Vec<SocketAddr> =
-            self.unheard().map(|e| e.address).filter(|at| *at != self.address).collect();
+            self.absent_entries().map(|e| e.address).filter(|address| *address != self.address).collect();
         for _ in 0..count.min(all.len()) {
-            let at = all.swap_remove(self.below(all.len() as u64) as usize);
-            self.hail(at, out);
+            let address = all.swap_remove(self.random_below(all.len() as u64) as usize);
+            self.request_sync(address, datagrams);
         }
     }
 
-    /// Whether another, by its own word, sees the fleet as this one does.
-    fn agrees(&self, heard: Option<Said>) -> bool {
-        heard.is_some_and(|h| (h.view, h.roster) == self.seen.whole)
+    /// Whether another member reports the same view of the fleet as this one has.
+    fn agrees(&self, summary: Option<FleetSummary>) -> bool {
+        summary.is_some_and(|summary| (summary.view_digest, summary.roster_digest) == self.derived.combined)
     }
 
-    /// Another's word on what it makes of the fleet. Where that is something else it is looked into, now and then.
-    fn hear(&mut self, id: &MemberId, said: Said, from: SocketAddr, now: Ms, out: &mut Out) {
-        let agrees = self.agrees(Some(said));
-        self.members.hear(id, said, agrees, now);
-        self.heard_agree(agrees && said.standing == Standing::Whole);
+    /// Records the view that another member reports. If it differs, digests are exchanged now and then.
+    fn handle_summary(
+        &mut self,
+        id: &MemberId,
+        summary: FleetSummary,
+        from: SocketAddr,
+        now: Ms,
+        datagrams: &mut Datagrams,
+    ) {
+        let agrees = self.agrees(Some(summary));
+        self.members.record_summary(id, summary, agrees, now);
+        self.count_agreement(agrees && summary.standing == Standing::Whole);
         let Some(is_present) = self.members.get(id).map(Member::is_present) else { return };
-        if said.complete && !self.complete && said.roster == self.seen.whole.1 {
-            (self.complete, self.stale) = (true, true);
+        if summary.roster_complete
+            && !self.roster_complete
+            && summary.roster_digest == self.derived.combined.1
+        {
+            (self.roster_complete, self.stale) = (true, true);
         }
-        if !agrees && is_present && self.rounds >= self.looked_into + LOOK_INTO {
-            self.looked_into = self.rounds;
-            self.ranges(from, true, out);
+        if !agrees && is_present && self.rounds >= self.last_disagreement_round + DISAGREEMENT_ROUNDS {
+            self.last_disagreement_round = self.rounds;
+            self.send_digests(from, true, datagrams);
         }
     }
 
-    /// Of many that start at once each has a word on each to pass on, and most of these tell what is known. Who is whole by
-    /// the same sums knows of everybody, and that they are in: as many of those in a row as a word is told to stand for
-    /// the telling.
-    fn heard_agree(&mut self, knows_all: bool) {
-        self.agreed = if knows_all { self.agreed + 1 } else { 0 };
-        if self.agreed >= self.passed_on() {
-            self.agreed = 0;
-            self.words.forget_presence();
+    /// Stops sending updates about mere presence once they are widely known. When many members start at once,
+    /// each holds an update about every other, and most of them carry nothing new. A sender with standing
+    /// `Whole` and the same digests knows all members and their roster status; as many such datagrams in a
+    /// row as an update is sent times replace sending it.
+    fn count_agreement(&mut self, knows_all: bool) {
+        self.agreeing_datagrams = if knows_all { self.agreeing_datagrams + 1 } else { 0 };
+        if self.agreeing_datagrams >= self.gossip_limit() {
+            self.agreeing_datagrams = 0;
+            self.gossip.remove_presence();
         }
     }
 
-    /// A datagram has come.
-    pub fn receive(&mut self, now: Ms, from: SocketAddr, bytes: &[u8], out: &mut Out) {
-        let Message { said, body, updates } = match decode(self.config.fleet, bytes) {
+    /// Handles a datagram.
+    pub fn receive(&mut self, now: Ms, from: SocketAddr, bytes: &[u8], datagrams: &mut Datagrams) {
+        let Message { summary, body, updates } = match decode(self.config.fleet, bytes) {
             Ok(message) => message,
-            Err(unfit) => {
-                let count = match unfit {
-                    Unfit::TooLong => &mut self.dropped.too_long,
-                    Unfit::OtherVersion => &mut self.dropped.other_version,
-                    Unfit::OtherFleet => &mut self.dropped.other_fleet,
-                    Unfit::Malformed => &mut self.dropped.malformed,
+            Err(error) => {
+                let count = match error {
+                    DecodeError::TooLong => &mut self.dropped.too_long,
+                    DecodeError::OtherVersion => &mut self.dropped.other_version,
+                    DecodeError::OtherFleet => &mut self.dropped.other_fleet,
+                    DecodeError::Malformed => &mut self.dropped.malformed,
                 };
                 *count += 1;
                 return;
             }
         };
         let sender = updates.first().map(|u| u.id.clone());
-        if let Some(own) = updates.first().filter(|u| u.state == MemberState::Alive && self.is_late(u)) {
-            // It lives, and may not know that it was given up: it must say so louder to be heard again.
+        if let Some(about_sender) =
+            updates.first().filter(|u| u.state == MemberState::Alive && self.is_outdated(u))
+        {
+            // The sender lives and may not know that it was declared failed: it must raise its incarnation to
+            // be accepted again.
             let by = self.id.name.clone();
-            let word = MemberUpdate { state: MemberState::Failed, by, ..own.clone() };
-            let updates = [self.own(), word];
-            self.write(from, &Body::Sync { wants: false }, updates.iter(), out);
+            let failed = MemberUpdate { state: MemberState::Failed, by, ..about_sender.clone() };
+            let updates = [self.own_update(), failed];
+            self.push_datagram(from, &Body::Sync { wants_reply: false }, updates.iter(), datagrams);
         }
         for update in updates {
-            self.apply(update, now);
+            self.apply_update(update, now);
         }
         if self.left {
             return;
         }
-        self.look(now);
-        if let (Some(id), Some(said)) = (&sender, said) {
-            self.hear(id, said, from, now, out);
-            self.admit_next(now, out);
+        self.refresh(now);
+        if let (Some(id), Some(summary)) = (&sender, summary) {
+            self.handle_summary(id, summary, from, now, datagrams);
+            self.admit_next(now, datagrams);
         }
         match body {
-            Body::Ping { number, to } => {
-                // A later process may have the address: it is not the one that is asked for.
-                if to == self.id {
-                    self.send(from, Body::Ack { number }, sender.as_ref(), out);
+            Body::Ping { sequence, target } => {
+                // A later process may have the same address; the ping is not for that one.
+                if target == self.id {
+                    self.send(from, Body::Ack { sequence }, sender.as_ref(), datagrams);
                 }
             }
-            Body::Ack { number } => self.acked(number, out),
-            Body::Nack { number } => {
-                if let Some(probe) = self.probe.as_mut().filter(|p| p.number == number) {
+            Body::Ack { sequence } => self.handle_ack(sequence, datagrams),
+            Body::Nack { sequence } => {
+                if let Some(probe) = self.probe.as_mut().filter(|p| p.sequence == sequence) {
                     probe.nacks += 1;
                 }
             }
-            Body::Ask { number, of, at } => {
-                self.number = self.number.wrapping_add(1);
-                let (own, until) = (self.number, now + self.config.timeout);
-                self.errands.push(Errand { number: own, for_whom: from, theirs: number, until });
-                self.send(at, Body::Ping { number: own, to: of.clone() }, Some(&of), out);
+            Body::PingRequest { sequence: requester_sequence, target, address } => {
+                self.sequence = self.sequence.wrapping_add(1);
+                let (sequence, deadline) = (self.sequence, now + self.config.timeout);
+                self.relays.push(RelayedPing { sequence, requester: from, requester_sequence, deadline });
+                self.send(address, Body::Ping { sequence, target: target.clone() }, Some(&target), datagrams);
             }
-            Body::Sync { wants: false } => {}
-            // One that speaks the second form tells what it lacks.
-            Body::Sync { wants: true } => match sender.and_then(|id| self.members.get(&id)) {
-                Some(m) if m.protocol_version() > 1 => self.ranges(from, true, out),
-                _ => self.sync(from, false, out),
+            Body::Sync { wants_reply: false } => {}
+            // A member that speaks version 2 sends only what this one lacks.
+            Body::Sync { wants_reply: true } => match sender.and_then(|id| self.members.get(&id)) {
+                Some(m) if m.protocol_version() > 1 => self.send_digests(from, true, datagrams),
+                _ => self.send_all_members(from, false, datagrams),
             },
-            Body::Ranges { wants, view, roster } => {
-                self.tell_apart(from, &view, &roster, out);
-                if wants && (self.seen.view, self.seen.roster) != (*view, *roster) {
-                    self.ranges(from, false, out);
-                } else if wants {
-                    // The same is known here: that is news too.
-                    self.say(from, &Body::Ack { number: 0 }, out);
+            Body::Digests { wants_reply, view, roster } => {
+                self.send_differences(from, &view, &roster, datagrams);
+                if wants_reply && (self.derived.view, self.derived.roster) != (*view, *roster) {
+                    self.send_digests(from, false, datagrams);
+                } else if wants_reply {
+                    // The digests are equal, which the sender should learn too.
+                    self.send_plain(from, &Body::Ack { sequence: 0 }, datagrams);
                 }
             }
             Body::Roster(entries) => {
-                let asks = self.merge(entries, out);
-                self.look(now);
-                if asks {
-                    // Whoever makes changes one by one waits to hear that this one is known.
-                    self.say(from, &Body::Ack { number: 0 }, out);
+                let wants_ack = self.merge_entries(entries, datagrams);
+                self.refresh(now);
+                if wants_ack {
+                    // The member that makes changes one at a time waits to learn that this one is known.
+                    self.send_plain(from, &Body::Ack { sequence: 0 }, datagrams);
                 }
             }
             Body::Join => {
                 if let Some(id) = sender {
-                    self.asked_in(id, from, now, out);
+                    self.handle_join(id, from, now, datagrams);
                 }
             }
         }
-        self.look(now);
+        self.refresh(now);
     }
 
-    fn acked(&mut self, number: u32, out: &mut Out) {
-        if let Some(probe) = self.probe.as_mut().filter(|p| p.number == number) {
+    /// Handles the answer to a probe or to a ping on behalf of another member.
+    fn handle_ack(&mut self, sequence: u32, datagrams: &mut Datagrams) {
+        if let Some(probe) = self.probe.as_mut().filter(|p| p.sequence == sequence) {
             probe.answered = true;
         }
-        if let Some(at) = self.errands.iter().position(|e| e.number == number) {
-            let errand = self.errands.swap_remove(at);
-            self.send(errand.for_whom, Body::Ack { number: errand.theirs }, None, out);
+        if let Some(index) = self.relays.iter().position(|e| e.sequence == sequence) {
+            let relayed = self.relays.swap_remove(index);
+            self.send(relayed.requester, Body::Ack { sequence: relayed.requester_sequence }, None, datagrams);
         }
     }
 
-    /// It goes, and says so itself: to several at once, as nobody will ask it any more.
-    pub fn leave(&mut self, out: &mut Out) {
+    /// Announces the departure to several members at once, as nobody will probe this one any more.
+    pub fn leave(&mut self, datagrams: &mut Datagrams) {
         if self.left {
             return;
         }
         (self.left, self.stale) = (true, true);
-        let number = self.number;
-        self.count_own();
+        let sequence = self.sequence;
+        self.refresh_own_presence();
         let entry = self.leave_roster();
-        // Some, and the seeds: of many that leave together few are there to hear it.
-        let mut told = self.pick(2 * HELPERS, |_, m| m.is_present());
+        // Some random members, and the seeds: when many leave together, few are left to receive the
+        // announcement.
+        let mut recipients = self.pick_random(2 * INDIRECT_PROBES, |_, m| m.is_present());
         let seeds =
             self.members.iter().filter(|(_, m)| m.is_present() && self.config.seeds.contains(&m.address));
         let seeds: Vec<(MemberId, SocketAddr)> = seeds.map(|(id, m)| (id.clone(), m.address)).collect();
-        told.extend(seeds);
-        for (id, at) in told {
-            self.send(at, Body::Ack { number }, None, out);
+        recipients.extend(seeds);
+        for (id, address) in recipients {
+            self.send(address, Body::Ack { sequence }, None, datagrams);
             if self.members.get(&id).is_some_and(|m| m.protocol_version() > 1) {
-                entry.iter().for_each(|e| self.say(at, &Body::Roster(vec![e.clone()]), out));
+                entry
+                    .iter()
+                    .for_each(|e| self.send_plain(address, &Body::Roster(vec![e.clone()]), datagrams));
             }
         }
     }
 
-    /// Says once more that it has gone: the first word may be lost.
-    pub fn resend_leave(&mut self, out: &mut Out) {
+    /// Announces the departure once more, as the first datagrams may be lost.
+    pub fn resend_leave(&mut self, datagrams: &mut Datagrams) {
         self.left = false;
-        self.leave(out);
+        self.leave(datagrams);
     }
 
-    fn apply(&mut self, update: MemberUpdate, now: Ms) {
+    /// Applies an update if it is newer than what is known.
+    fn apply_update(&mut self, update: MemberUpdate, now: Ms) {
         if update.id == self.id {
-            return self.hear_of_itself(&update);
+            return self.refute(&update);
         }
         let Some(member) = self.members.get(&update.id) else {
-            if !self.is_late(&update) {
-                self.enter(update, now);
+            if !self.is_outdated(&update) {
+                self.add_member(update, now);
             }
             return;
         };
         if member.state == MemberState::Left {
             return;
         }
-        let is_same = update.incarnation == member.incarnation;
-        let tells_is_in = is_same && member.is_in.is_none() && update.is_in.is_some();
-        let newer = update.incarnation > member.incarnation;
-        let worse = is_same && update.state > member.state;
-        let confirms = is_same
+        let same_incarnation = update.incarnation == member.incarnation;
+        let adds_roster_status = same_incarnation && member.in_roster.is_none() && update.in_roster.is_some();
+        let is_newer = update.incarnation > member.incarnation;
+        let is_worse = same_incarnation && update.state > member.state;
+        let is_confirmation = same_incarnation
             && (update.state, member.state) == (MemberState::Suspect, MemberState::Suspect)
-            && member.said.len() <= CONFIRMED
-            && !member.said.contains(&update.by);
-        let is_news = newer || worse || update.state == MemberState::Left;
-        self.stale |= tells_is_in || newer || (is_news && member.state != update.state);
-        if is_news && update.state == MemberState::Alive {
+            && member.suspected_by.len() <= MAX_CONFIRMATIONS
+            && !member.suspected_by.contains(&update.by);
+        let supersedes = is_newer || is_worse || update.state == MemberState::Left;
+        self.stale |= adds_roster_status || is_newer || (supersedes && member.state != update.state);
+        if supersedes && update.state == MemberState::Alive {
             self.roster_changed |= self.roster.update_address(&update.id.name, update.address);
         }
-        if is_news || confirms {
-            self.words.insert(update.id.clone(), News::Other);
+        if supersedes || is_confirmation {
+            self.gossip.insert(update.id.clone(), UpdateKind::Other);
         }
-        if tells_is_in || is_news || confirms {
-            let MemberUpdate { id, state, address, version, incarnation, by, is_in } = update;
+        if adds_roster_status || supersedes || is_confirmation {
+            let MemberUpdate { id, state, address, version, incarnation, by, in_roster } = update;
             self.members.change(&id, |member| {
-                if tells_is_in || newer {
-                    member.is_in = is_in;
+                if adds_roster_status || is_newer {
+                    member.in_roster = in_roster;
                 }
-                if is_news {
+                if supersedes {
                     if state == MemberState::Suspect {
-                        member.said = BTreeSet::from([by.clone()]);
+                        member.suspected_by = BTreeSet::from([by.clone()]);
                     }
                     if member.state != state {
                         member.since = now;
@@ -1038,57 +1138,70 @@
                     member.incarnation = member.incarnation.max(incarnation);
                     (member.state, member.by) = (state, by);
                     (member.address, member.version) = (address, version);
-                } else if confirms {
-                    // Who else says so is passed on, as it shortens the suspicion.
-                    member.said.insert(by.clone());
+                } else if is_confirmation {
+                    // The confirmation is passed on, as it shortens the suspicion at other members.
+                    member.suspected_by.insert(by.clone());
                     member.by = by;
                 }
             });
         }
     }
 
-    /// What was forgotten is not brought back by a late word.
-    fn is_late(&self, update: &MemberUpdate) -> bool {
-        self.gone.incarnations.get(&update.id).is_some_and(|last| update.incarnation <= *last)
+    /// Whether the update is about a forgotten member and not newer than its last incarnation.
+    fn is_outdated(&self, update: &MemberUpdate) -> bool {
+        self.forgotten.incarnations.get(&update.id).is_some_and(|last| update.incarnation <= *last)
     }
 
-    fn enter(&mut self, update: MemberUpdate, now: Ms) {
-        let MemberUpdate { id, state, address, version, incarnation, by, is_in } = update;
-        let said = BTreeSet::from([by.clone()]);
+    /// Adds a member that was unknown.
+    fn add_member(&mut self, update: MemberUpdate, now: Ms) {
+        let MemberUpdate { id, state, address, version, incarnation, by, in_roster } = update;
+        let suspected_by = BTreeSet::from([by.clone()]);
         if state == MemberState::Alive {
             self.roster_changed |= self.roster.update_address(&id.name, address);
         }
-        let (since, known, heard, differs) = (now, now, None, None);
-        let new =
-            Member { address, version, incarnation, state, by, since, known, said, heard, differs, is_in };
-        self.members.insert(id.clone(), new);
+        let (since, first_seen, summary, differs_since) = (now, now, None, None);
+        let member = Member {
+            address,
+            version,
+            incarnation,
+            state,
+            by,
+            since,
+            first_seen,
+            suspected_by,
+            summary,
+            differs_since,
+            in_roster,
+        };
+        self.members.insert(id.clone(), member);
         self.stale = true;
-        // Asked for in this turn, at a place of its own.
-        let at = self.below(self.turn.len() as u64 + 1) as usize;
-        self.turn.insert(at, id.clone());
-        let news = if state == MemberState::Alive { News::Presence } else { News::Other };
-        self.words.insert(id, news);
+        // The member is probed in this turn, at a random position.
+        let position = self.random_below(self.probe_order.len() as u64 + 1) as usize;
+        self.probe_order.insert(position, id.clone());
+        let kind = if state == MemberState::Alive { UpdateKind::Presence } else { UpdateKind::Other };
+        self.gossip.insert(id, kind);
     }
 
-    /// Others doubt it: it says that it lives, louder than they.
-    fn hear_of_itself(&mut self, update: &MemberUpdate) {
+    /// Refutes a suspicion about this member by raising its incarnation.
+    fn refute(&mut self, update: &MemberUpdate) {
         if update.state == MemberState::Alive || update.incarnation < self.incarnation || self.left {
             return;
         }
         self.incarnation = update.incarnation.saturating_add(1);
-        self.health = (self.health + 1).min(WORST);
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 }
 
-/// Indices of some of so many, by chance.
-fn draw(random: &mut Pcg32, n: usize, of: usize) -> Vec<usize> {
-    // As if each that is drawn were taken out of a list and the last put in its place, without making the list.
+/// Random distinct indices below `total`.
+fn sample_indices(random: &mut Pcg32, count: usize, total: usize) -> Vec<usize> {
+    // Works as if each drawn index were removed from a list and replaced by the last one, without building
+    // the list.
     let mut moved: BTreeMap<usize, usize> = BTreeMap::new();
-    let mut drawn = Vec::new();
-    for rest in (of.saturating_sub(n)..of).rev() {
-        let at = random.random_range(0..rest as u64 + 1) as usize;
-        let last = moved.get(&rest).copied().unwrap_or(rest);
-        drawn.push(moved.insert(at, last).unwrap_or(at));
+    let mut sampled = Vec::new();
+    for last in (total.saturating_sub(count)..total).rev() {
+        let index = random.random_range(0..last as u64 + 1) as usize;
+        let moved_last = moved.get(&last).copied().unwrap_or(last);
+        sampled.push(moved.insert(index, moved_last).unwrap_or(index));
     }
-    drawn
+    sampled
 }
--- a/crates/membership/src/node/joining.rs
+++ b/crates/membership/src/node/joining.rs
@@ -1,32 +1,35 @@
-//! How the roster is made and changed: a first one is founded, others are taken in one by one, who leaves says so, and
-//! who is gone for good is struck off.
+//! How the roster is founded and changed: one member founds the first roster, further members are admitted
+//! one at a time, a leaving member announces its departure, and an operator strikes off a member that is gone
+//! for good.
 //!
-//! Two parts of a fleet that can't hear each other must not both take themselves for the greater one. They don't, as long
-//! as any two rosters that are in use have in common somebody of each of their majorities. So one is taken in or struck
-//! off at a time, by one member of a majority, and only when most of those who are expected are heard to know of the
-//! change before. Who leaves needs nobody's leave: it is gone, by its own word, in all rosters alike, and counts nowhere
-//! until it is taken in again.
+//! Two partitions of a fleet must never both take themselves for the majority. That holds as long as any
+//! majorities of any two rosters in use have a member in common. Therefore one member of a majority admits or
+//! strikes off one name at a time, and only once most expected members are known to have the previous change.
+//! Leaving needs no permission: by its own announcement the member is gone from all rosters alike, and is
+//! counted nowhere until it is admitted again.
 use super::*;
 
-/// Others that a leave is passed on to by each that it is news to.
-const SPREAD: usize = 3;
-/// Rounds until a first roster may be made: one that there is would have been heard of.
-const FOUND: u64 = 3;
-/// While others wait to be taken in, so many that are not known to know the roster are asked in a round.
-const POLLED: usize = 24;
-/// One that waits to be taken in asks somebody else than the member that it takes for the one to ask, so often.
-const ELSEWHERE: u64 = 4;
+/// Members to which each recipient passes on that a member has left.
+const LEAVE_RELAYS: usize = 3;
+/// Rounds before a first roster may be founded; an existing roster would have become known by then.
+const FOUNDING_ROUNDS: u64 = 3;
+/// While members wait for admission, how many members without the current roster are asked for theirs in each
+/// round.
+const POLLS_PER_ROUND: usize = 24;
+/// Every so many rounds, a joining member asks a random member instead of the one that it takes for the
+/// admitting one.
+const RANDOM_JOIN_ROUNDS: u64 = 4;
 
-/// Why a name is not struck off.
+/// Why a name was not struck off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StrikeError {
-    /// The roster does not expect it.
+    /// The roster does not expect the name.
     NotExpected,
-    /// It is heard of.
+    /// A process of that name is present.
     Present,
-    /// Those who are not heard of may be the greater part: struck off here, they would be one of two.
+    /// The absent members may form a majority; striking one off here could make a second majority.
     NoMajority,
-    /// A change before this one is not known to most yet.
+    /// The previous change has not reached a majority yet.
     ChangePending,
 }
 
@@ -36,95 +39,105 @@
             StrikeError::NotExpected => "it is not expected",
             StrikeError::Present => "it is present",
             StrikeError::NoMajority => {
-                "this sender is in no majority: those that it does not hear may be one, and there would be two"
+                "this sender is not in a majority: the members that it can't reach may form one, and there would be two"
             }
-            StrikeError::ChangePending => "a change before this one is not known to most yet: try again",
+            StrikeError::ChangePending => "an earlier change has not reached a majority yet: try again",
         })
     }
 }
 
 impl Node {
-    /// Takes a name out of the roster that is gone for good. `vouched`: whoever asks knows that none of those who are not
-    /// heard of lives.
-    pub fn strike(&mut self, name: &str, vouched: bool, out: &mut Out) -> Result<(), StrikeError> {
+    /// Removes a name that is gone for good from the roster. `vouched`: the operator knows that none of the
+    /// absent members lives.
+    pub fn strike(
+        &mut self,
+        name: &str,
+        vouched: bool,
+        datagrams: &mut Datagrams,
+    ) -> Result<(), StrikeError> {
         if !self.roster.expects(name) {
             return Err(StrikeError::NotExpected);
         }
-        if self.members.is_here(name) {
+        if self.members.is_name_present(name) {
             return Err(StrikeError::Present);
         }
-        if !vouched && !self.seen.standing.permissions().strikes {
+        if !vouched && !self.derived.standing.permissions().strike_members {
             return Err(StrikeError::NoMajority);
         }
-        if !vouched && !self.is_agreed() {
+        if !vouched && !self.majority_has_roster() {
             return Err(StrikeError::ChangePending);
         }
         let address = self.roster.get(name).map_or(self.address, |e| e.address);
         let entry = self.set_status(name, EntryStatus::Struck, address);
-        self.tell_all(entry, out);
+        self.broadcast_entry(entry, datagrams);
         Ok(())
     }
 
-    /// Most of those who are expected know the roster as it is here.
-    fn is_agreed(&self) -> bool {
-        let sum = self.seen.whole.1;
-        let knows = |m: &Member| m.is_in == Some(true) && m.heard.is_some_and(|h| h.roster == sum);
-        let agrees = |e: &&RosterEntry| {
-            (e.name == self.id.name && self.is_in) || self.others_named(&e.name).any(knows)
+    /// Whether most of the expected members have the same roster as this one.
+    fn majority_has_roster(&self) -> bool {
+        let digest = self.derived.combined.1;
+        let has_same_roster = |m: &Member| {
+            m.in_roster == Some(true) && m.summary.is_some_and(|summary| summary.roster_digest == digest)
         };
-        !self.stale && 2 * self.roster.expected().filter(agrees).count() > self.seen.expected
+        let knows_roster = |e: &&RosterEntry| {
+            (e.name == self.id.name && self.in_roster) || self.others_with_name(&e.name).any(has_same_roster)
+        };
+        !self.stale && 2 * self.roster.expected().filter(knows_roster).count() > self.derived.expected
     }
 
-    /// While others wait to be taken in: asks those that are not known to know the roster as it is here.
-    pub(super) fn poll(&mut self, out: &mut Out) {
+    /// While members wait for admission, asks the members that may not have the current roster for theirs.
+    pub(super) fn poll_members(&mut self, datagrams: &mut Datagrams) {
         if self.joiners.is_empty() {
             return;
         }
-        let sum = self.seen.whole.1;
+        let digest = self.derived.combined.1;
         let may_know = |m: &Member| {
             m.state == MemberState::Alive
                 && m.protocol_version() > 1
-                && m.heard.is_none_or(|h| h.roster != sum)
+                && m.summary.is_none_or(|summary| summary.roster_digest != digest)
         };
         let names: BTreeSet<String> = self.roster.expected().map(|e| e.name.clone()).collect();
-        for (_, at) in self.pick(POLLED, |id, m| may_know(m) && names.contains(&id.name)) {
-            self.ranges(at, true, out);
+        for (_, address) in self.pick_random(POLLS_PER_ROUND, |id, m| may_know(m) && names.contains(&id.name))
+        {
+            self.send_digests(address, true, datagrams);
         }
     }
 
-    /// Tells everybody of a change, and hears from each that it knows.
-    fn tell_all(&mut self, entry: RosterEntry, out: &mut Out) {
+    /// Sends a change to all members; each acknowledges it.
+    fn broadcast_entry(&mut self, entry: RosterEntry, datagrams: &mut Datagrams) {
         (self.roster_changed, self.stale) = (true, true);
-        let told = self.members.iter().filter(|(_, m)| m.is_present() && m.protocol_version() > 1);
-        let told: Vec<SocketAddr> = told.map(|(_, m)| m.address).collect();
-        for at in told {
-            self.say(at, &Body::Roster(vec![entry.clone()]), out);
+        let recipients = self.members.iter().filter(|(_, m)| m.is_present() && m.protocol_version() > 1);
+        let recipients: Vec<SocketAddr> = recipients.map(|(_, m)| m.address).collect();
+        for address in recipients {
+            self.send_plain(address, &Body::Roster(vec![entry.clone()]), datagrams);
         }
     }
 
-    /// Another's word on the roster; true if it was news of one change, which is to be answered. That one has left is
-    /// passed on: it told a few.
-    pub(super) fn merge(&mut self, entries: Vec<RosterEntry>, out: &mut Out) -> bool {
-        let is_one = entries.len() == 1;
-        let news: Vec<RosterEntry> = entries.into_iter().filter(|e| self.roster.merge(e.clone())).collect();
-        news.iter().for_each(|e| self.members.expect(&e.name, self.roster.expects(&e.name)));
-        if news.is_empty() {
+    /// Merges another member's roster entries. Returns true if a single change was new, which has to be
+    /// acknowledged. A departure is passed on, as the leaving member told only a few.
+    pub(super) fn merge_entries(&mut self, entries: Vec<RosterEntry>, datagrams: &mut Datagrams) -> bool {
+        let is_single = entries.len() == 1;
+        let changed: Vec<RosterEntry> =
+            entries.into_iter().filter(|e| self.roster.merge(e.clone())).collect();
+        changed.iter().for_each(|e| self.members.set_expected(&e.name, self.roster.expects(&e.name)));
+        if changed.is_empty() {
             return false;
         }
         (self.roster_changed, self.stale) = (true, true);
-        for entry in news.into_iter().filter(|e| is_one && e.status == EntryStatus::Left) {
-            for (_, at) in self.pick(SPREAD, |_, m| m.state == MemberState::Alive && m.protocol_version() > 1)
+        for entry in changed.into_iter().filter(|e| is_single && e.status == EntryStatus::Left) {
+            for (_, address) in self
+                .pick_random(LEAVE_RELAYS, |_, m| m.state == MemberState::Alive && m.protocol_version() > 1)
             {
-                self.say(at, &Body::Roster(vec![entry.clone()]), out);
+                self.send_plain(address, &Body::Roster(vec![entry.clone()]), datagrams);
             }
         }
-        is_one
+        is_single
     }
 
-    /// It leaves: its entry, to be told, unless another process of its name goes on in its place.
+    /// Leaves the roster. Returns the entry to announce, unless another process continues under this name.
     pub(super) fn leave_roster(&mut self) -> Option<RosterEntry> {
         let name = self.id.name.clone();
-        if self.succeeded || self.others_named(&name).next().is_some() {
+        if self.replaced || self.others_with_name(&name).next().is_some() {
             return None;
         }
         if self.roster.expects(&name) {
@@ -134,98 +147,109 @@
         self.roster.get(&name).filter(|e| e.status == EntryStatus::Left).cloned()
     }
 
-    /// One that nobody expects asks to be taken in, or makes the first roster; one that is in asks for all of it.
-    pub(super) fn join(&mut self, out: &mut Out) {
-        if self.config.protocol_version == 1 || self.is_in {
+    /// Takes the next step into the roster: founds the first one, asks to be admitted, or, if admitted
+    /// already, asks for the whole roster.
+    pub(super) fn request_join(&mut self, datagrams: &mut Datagrams) {
+        if self.config.protocol_version == 1 || self.in_roster {
             return;
         }
-        if self.may_found() {
-            return self.found();
+        if self.may_found_roster() {
+            return self.found_roster();
         }
         if self.roster.expects(&self.id.name) {
-            let complete = |m: &Member| m.heard.is_some_and(|h| h.complete);
-            for (_, at) in self.pick(1, |_, m| m.state == MemberState::Alive && complete(m)) {
-                self.ranges(at, true, out);
+            let has_complete_roster = |m: &Member| m.summary.is_some_and(|summary| summary.roster_complete);
+            for (_, address) in
+                self.pick_random(1, |_, m| m.state == MemberState::Alive && has_complete_roster(m))
+            {
+                self.send_digests(address, true, datagrams);
             }
             return;
         }
-        let is_in =
-            |m: &Member| m.state == MemberState::Alive && m.protocol_version() > 1 && m.is_in != Some(false);
-        let first = self.members.iter().find(|(_, m)| is_in(m)).map(|(id, m)| (id.clone(), m.address));
-        let asked = match self.rounds.is_multiple_of(ELSEWHERE) {
-            true => self.pick(1, |_, m| is_in(m)),
-            false => first.into_iter().collect(),
+        let may_admit = |m: &Member| {
+            m.state == MemberState::Alive && m.protocol_version() > 1 && m.in_roster != Some(false)
+        };
+        let first_member =
+            self.members.iter().find(|(_, m)| may_admit(m)).map(|(id, m)| (id.clone(), m.address));
+        let recipients = match self.rounds.is_multiple_of(RANDOM_JOIN_ROUNDS) {
+            true => self.pick_random(1, |_, m| may_admit(m)),
+            false => first_member.into_iter().collect(),
         };
-        for (_, at) in asked {
-            self.say(at, &Body::Join, out);
+        for (_, address) in recipients {
+            self.send_plain(address, &Body::Join, datagrams);
         }
     }
 
-    /// The first roster, or a new one after all have left, is made by the first of the seeds alone, once it hears most seeds
-    /// and nobody who has a whole roster that expects anybody: so no two are made, and none beside one that there is. Where
-    /// words of one are left whose whole is lost, all that they name must be there.
-    fn may_found(&self) -> bool {
+    /// Whether this member may found the first roster, or a new one after all members have left. Only the
+    /// first seed does so, once it reaches most seeds and no present member has a complete roster that
+    /// expects anybody: so there is only one founder, and none beside an existing roster. If single entries
+    /// are left of a roster that was lost, all names in them must be present.
+    fn may_found_roster(&self) -> bool {
         let seeds = &self.config.seeds;
-        let lacks = self.complete || self.unheard().next().is_some();
-        if self.rounds < FOUND || (self.seen.expected > 0 && lacks) {
+        let roster_unusable = self.roster_complete || self.absent_entries().next().is_some();
+        if self.rounds < FOUNDING_ROUNDS || (self.derived.expected > 0 && roster_unusable) {
             return false;
         }
-        let knows_none =
-            |m: &Member| m.protocol_version() == 1 || m.heard.is_some_and(|h| !(h.complete && h.expects));
+        let has_no_roster = |m: &Member| {
+            m.protocol_version() == 1
+                || m.summary.is_some_and(|summary| !(summary.roster_complete && summary.has_expected))
+        };
         let others = || self.members.iter().map(|(_, m)| m).filter(|m| m.is_present());
-        let heard = seeds
-            .iter()
-            .filter(|seed| **seed == self.address || others().any(|m| m.address == **seed && knows_none(m)));
-        let first = seeds.first().is_none_or(|first| *first == self.address);
-        // Of those that it has not heard itself others tell whether they are in.
-        let knows_some = |m: &Member| m.is_in == Some(true) || (m.heard.is_some() && !knows_none(m));
-        let most = 2 * heard.count() >= seeds.len() + usize::from(!seeds.is_empty());
-        first && most && !others().any(knows_some)
+        let reached_seeds = seeds.iter().filter(|seed| {
+            **seed == self.address || others().any(|m| m.address == **seed && has_no_roster(m))
+        });
+        let is_first_seed = seeds.first().is_none_or(|first| *first == self.address);
+        // The roster status of members without direct contact is known from others' updates.
+        let has_roster = |m: &Member| m.in_roster == Some(true) || (m.summary.is_some() && !has_no_roster(m));
+        let reaches_most_seeds = 2 * reached_seeds.count() >= seeds.len() + usize::from(!seeds.is_empty());
+        is_first_seed && reaches_most_seeds && !others().any(has_roster)
     }
 
-    /// A roster of all that are heard of: there is no other that they could be in.
-    fn found(&mut self) {
+    /// Founds a roster of all present members; there is no other roster that they could be in.
+    fn found_roster(&mut self) {
         let others =
             self.members.iter().filter(|(_, m)| m.state == MemberState::Alive && m.protocol_version() > 1);
-        let mut all: BTreeMap<String, SocketAddr> =
+        let mut founders: BTreeMap<String, SocketAddr> =
             others.map(|(id, m)| (id.name.clone(), m.address)).collect();
-        all.insert(self.id.name.clone(), self.address);
-        all.iter().for_each(|(name, address)| _ = self.set_status(name, EntryStatus::Expected, *address));
-        (self.complete, self.roster_changed, self.stale) = (true, true, true);
+        founders.insert(self.id.name.clone(), self.address);
+        founders
+            .iter()
+            .for_each(|(name, address)| _ = self.set_status(name, EntryStatus::Expected, *address));
+        (self.roster_complete, self.roster_changed, self.stale) = (true, true, true);
     }
 
-    /// Another asks to be taken in.
-    pub(super) fn asked_in(&mut self, id: MemberId, from: SocketAddr, now: Ms, out: &mut Out) {
+    /// Another member asks to be admitted.
+    pub(super) fn handle_join(&mut self, id: MemberId, from: SocketAddr, now: Ms, datagrams: &mut Datagrams) {
         match self.roster.get(&id.name).filter(|e| e.status == EntryStatus::Expected).cloned() {
-            Some(entry) => self.say(from, &Body::Roster(vec![entry]), out),
+            Some(entry) => self.send_plain(from, &Body::Roster(vec![entry]), datagrams),
             None => {
                 self.joiners.insert(id, from);
-                self.admit_next(now, out);
+                self.admit_next(now, datagrams);
             }
         }
     }
 
-    /// The one that takes others in: of those who are expected and there, the first by name.
-    fn is_first(&mut self, now: Ms) -> bool {
-        self.doubt_until(now);
-        let first = self.roster.expected().find(|e| self.members.counts(&e.name));
+    /// Whether this member is the one that admits others: the first by name of the expected and present
+    /// members.
+    fn is_admitter(&mut self, now: Ms) -> bool {
+        self.discount_suspects(now);
+        let first = self.roster.expected().find(|e| self.members.is_counted(&e.name));
         first.is_some_and(|e| e.name == self.id.name)
     }
 
-    /// Takes the next one in, if that may be done here and now.
-    pub(super) fn admit_next(&mut self, now: Ms, out: &mut Out) {
-        if self.joiners.is_empty() || self.stale || !self.seen.standing.permissions().admissions {
+    /// Admits the waiting members, as far as that is allowed here and now.
+    pub(super) fn admit_next(&mut self, now: Ms, datagrams: &mut Datagrams) {
+        if self.joiners.is_empty() || self.stale || !self.derived.standing.permissions().admit_members {
             return;
         }
-        if !self.is_first(now) {
+        if !self.is_admitter(now) {
             return self.joiners.clear();
         }
-        while self.is_agreed() {
+        while self.majority_has_roster() {
             let Some((id, _)) = self.joiners.pop_first() else { return };
             let member = self.members.get(&id).filter(|m| m.state == MemberState::Alive);
             if let Some(address) = member.map(|m| m.address).filter(|_| !self.roster.expects(&id.name)) {
                 let entry = self.set_status(&id.name, EntryStatus::Expected, address);
-                self.tell_all(entry, out);
+                self.broadcast_entry(entry, datagrams);
             }
         }
     }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,53 +1,57 @@
-//! Who is expected: every name that has joined and has neither left nor been struck off. Kept by each member, merged
-//! without anybody in charge: of two words on one name the later one holds, and of two that are as late the one that
-//! takes it away.
+//! The roster: every name that was admitted and has neither left nor been struck off. Each member stores it,
+//! and rosters are merged without a coordinator: of two entries for one name the one with the higher epoch
+//! wins, and of two with the same epoch the one that removes the name.
 use crate::digest::{self, Digests};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Where a name stands. Of words that are as late the last of these holds.
+/// Status of a name. Of two entries with the same epoch the one with the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryStatus {
+    /// The name was admitted, and is expected to be present.
     Expected,
-    /// It has said so itself.
+    /// The member announced its departure.
     Left,
-    /// An operator has said that it is gone for good.
+    /// An operator declared that it is gone for good.
     Struck,
 }
 
+/// The latest known change of one name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
     pub name: String,
-    /// One more than any change that was known when this one was made.
+    /// One more than any epoch that was known when the entry was made.
     pub epoch: u32,
     #[serde(rename = "place")]
     pub status: EntryStatus,
-    /// Where it was last heard of.
+    /// The member's last known address.
     pub address: SocketAddr,
 }
 
-/// So many changes back those that left are remembered, so that no late word brings them back.
-const REMEMBERED: u32 = 4_096;
-/// Version of the file. A file of a higher one is none that this program can read.
-const FORMAT: u32 = 1;
+/// Entries of names that are no longer expected are kept for this many epochs, so that no outdated entry
+/// brings them back.
+const REMEMBERED_EPOCHS: u32 = 4_096;
+/// Version of the file format. Files of a higher version can't be read.
+const FILE_FORMAT: u32 = 1;
 
-/// As it is kept in a file.
+/// Contents of a roster file.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct RosterFile {
     format: u32,
     fleet: u64,
-    /// Of the entries' text.
+    /// CRC-32 of the entries as JSON.
     sum: u32,
     entries: Vec<RosterEntry>,
 }
 
-/// Why a file is not taken.
+/// Why a roster file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RosterError {
-    /// Torn or not a roster at all.
+    /// Truncated, or not a roster file.
     Corrupt(String),
+    /// Written for another fleet.
     OtherFleet,
     /// Written by a later program, in this format.
     NewerFormat(u32),
@@ -56,169 +60,179 @@
 impl std::fmt::Display for RosterError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            RosterError::Corrupt(why) => write!(f, "it is broken: {why}"),
-            RosterError::OtherFleet => write!(f, "it is another fleet's"),
-            RosterError::NewerFormat(format) => write!(f, "its format {format} is a later program's"),
+            RosterError::Corrupt(reason) => write!(f, "the file is corrupt: {reason}"),
+            RosterError::OtherFleet => write!(f, "the file belongs to another fleet"),
+            RosterError::NewerFormat(format) => {
+                write!(f, "the file has format {format}, which a later program wrote")
+            }
         }
     }
 }
 
-fn sum(entries: &[RosterEntry]) -> u32 {
+fn entries_checksum(entries: &[RosterEntry]) -> u32 {
     crc32fast::hash(serde_json::to_string(entries).unwrap_or_default().as_bytes())
 }
 
+/// One entry for each name that is expected, or was not long ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roster {
     entries: BTreeMap<String, RosterEntry>,
-    /// What follows from the entries, kept up with each change.
-    sums: Sums,
+    /// Derived from the entries, updated with each change.
+    aggregates: Aggregates,
 }
 
+/// What follows from the entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Sums {
+struct Aggregates {
     digests: Digests,
-    /// How many are expected.
+    /// Number of expected names.
     expected: usize,
-    /// Those that are not, by their changes.
-    ended: BTreeSet<(u32, String)>,
-    /// The last change that is known.
-    latest: u32,
+    /// Names that are not expected, ordered by epoch.
+    not_expected: BTreeSet<(u32, String)>,
+    /// The highest known epoch.
+    latest_epoch: u32,
 }
 
-impl Sums {
-    fn enter(&mut self, entry: &RosterEntry) {
-        self.digests.add(&entry.name, digest_of(entry));
+impl Aggregates {
+    fn add(&mut self, entry: &RosterEntry) {
+        self.digests.add(&entry.name, entry_digest(entry));
         match entry.status {
             EntryStatus::Expected => self.expected += 1,
             EntryStatus::Left | EntryStatus::Struck => {
-                _ = self.ended.insert((entry.epoch, entry.name.clone()))
+                _ = self.not_expected.insert((entry.epoch, entry.name.clone()))
             }
         }
-        // Of an entry only a later one takes the place, and none of the last is forgotten.
-        self.latest = self.latest.max(entry.epoch);
+        // An entry is only replaced by a later one, and the latest ones are never pruned, so the maximum
+        // never decreases.
+        self.latest_epoch = self.latest_epoch.max(entry.epoch);
     }
 
-    fn leave(&mut self, entry: &RosterEntry) {
-        self.digests.take(&entry.name, digest_of(entry));
+    fn subtract(&mut self, entry: &RosterEntry) {
+        self.digests.remove(&entry.name, entry_digest(entry));
         match entry.status {
             EntryStatus::Expected => self.expected -= 1,
             EntryStatus::Left | EntryStatus::Struck => {
-                _ = self.ended.remove(&(entry.epoch, entry.name.clone()))
+                _ = self.not_expected.remove(&(entry.epoch, entry.name.clone()))
             }
         }
     }
 }
 
-fn digest_of(entry: &RosterEntry) -> u64 {
-    digest::of(&entry.name, &[u64::from(entry.epoch), entry.status as u64])
+fn entry_digest(entry: &RosterEntry) -> u64 {
+    digest::stable_hash(&entry.name, &[u64::from(entry.epoch), entry.status as u64])
 }
 
 impl Roster {
-    /// The entries of a file of this fleet.
+    /// Reads a file of this fleet.
     pub fn from_json(fleet: u64, text: &str) -> Result<Roster, RosterError> {
-        let broken = |e: serde_json::Error| RosterError::Corrupt(e.to_string());
-        let value: serde_json::Value = serde_json::from_str(text).map_err(broken)?;
-        if let Some(format) = value["format"].as_u64().filter(|f| *f > u64::from(FORMAT)) {
+        let corrupt = |e: serde_json::Error| RosterError::Corrupt(e.to_string());
+        let value: serde_json::Value = serde_json::from_str(text).map_err(corrupt)?;
+        if let Some(format) = value["format"].as_u64().filter(|f| *f > u64::from(FILE_FORMAT)) {
             return Err(RosterError::NewerFormat(format as u32));
         }
-        let kept: Kept = serde_json::from_value(value).map_err(broken)?;
-        if kept.fleet != fleet {
+        let file: RosterFile = serde_json::from_value(value).map_err(corrupt)?;
+        if file.fleet != fleet {
             return Err(RosterError::OtherFleet);
         }
-        if sum(&kept.entries) != kept.sum {
-            return Err(RosterError::Corrupt("its sum is wrong".into()));
+        if entries_checksum(&file.entries) != file.sum {
+            return Err(RosterError::Corrupt("the checksum does not match".into()));
         }
         let mut roster = Roster::default();
-        kept.entries.into_iter().for_each(|e| roster.put(e));
+        file.entries.into_iter().for_each(|e| roster.replace(e));
         Ok(roster)
     }
 
-    /// What a file of it holds.
+    /// The contents of a roster file.
     pub fn to_json(&self, fleet: u64) -> String {
         let entries: Vec<RosterEntry> = self.entries.values().cloned().collect();
-        let kept = Kept { format: FORMAT, fleet, sum: sum(&entries), entries };
-        serde_json::to_string(&kept).unwrap_or_default()
+        let file = RosterFile { format: FILE_FORMAT, fleet, sum: entries_checksum(&entries), entries };
+        serde_json::to_string(&file).unwrap_or_default()
     }
 
+    /// The entry of a name.
     pub fn get(&self, name: &str) -> Option<&RosterEntry> {
         self.entries.get(name)
     }
 
+    /// All entries, ordered by name.
     pub fn entries(&self) -> impl Iterator<Item = &RosterEntry> {
         self.entries.values()
     }
 
-    /// Those that are expected.
+    /// Entries of the expected names.
     pub fn expected(&self) -> impl Iterator<Item = &RosterEntry> {
         self.entries.values().filter(|e| e.status == EntryStatus::Expected)
     }
 
+    /// Whether a name is expected.
     pub fn expects(&self, name: &str) -> bool {
         self.get(name).is_some_and(|e| e.status == EntryStatus::Expected)
     }
 
-    /// How many are expected.
-    pub(crate) fn count(&self) -> usize {
-        self.sums.expected
+    /// Number of expected names.
+    pub(crate) fn expected_count(&self) -> usize {
+        self.aggregates.expected
     }
 
-    /// The last change that is known.
+    /// The highest known epoch.
     pub fn latest_epoch(&self) -> u32 {
-        self.sums.latest
+        self.aggregates.latest_epoch
     }
 
-    fn put(&mut self, entry: RosterEntry) {
-        self.sums.enter(&entry);
+    fn replace(&mut self, entry: RosterEntry) {
+        self.aggregates.add(&entry);
         if let Some(old) = self.entries.insert(entry.name.clone(), entry) {
-            self.sums.leave(&old);
+            self.aggregates.subtract(&old);
         }
     }
 
-    /// A change made here: the latest word on that name.
+    /// Makes a change here: the latest entry for the name.
     pub fn set(&mut self, name: &str, status: EntryStatus, address: SocketAddr) -> RosterEntry {
         let epoch = self.latest_epoch().saturating_add(1);
         let entry = RosterEntry { name: name.to_string(), epoch, status, address };
-        self.put(entry.clone());
+        self.replace(entry.clone());
         self.prune();
         entry
     }
 
-    /// Another's word. True if it says something new.
+    /// Merges another member's entry. Returns whether it was new.
     pub fn merge(&mut self, entry: RosterEntry) -> bool {
         let old = self.entries.get(&entry.name).map(|e| (e.epoch, e.status));
-        let is_late = entry.status != EntryStatus::Expected
-            && entry.epoch < self.latest_epoch().saturating_sub(REMEMBERED);
-        if old >= Some((entry.epoch, entry.status)) || is_late {
+        let is_outdated = entry.status != EntryStatus::Expected
+            && entry.epoch < self.latest_epoch().saturating_sub(REMEMBERED_EPOCHS);
+        if old >= Some((entry.epoch, entry.status)) || is_outdated {
             return false;
         }
-        self.put(entry);
+        self.replace(entry);
         self.prune();
         true
     }
 
-    /// Where a member is heard of now; no change of the roster.
+    /// Updates a member's address, which is no change of the roster.
     pub fn update_address(&mut self, name: &str, address: SocketAddr) -> bool {
         let entry = self.entries.get_mut(name).filter(|e| e.address != address);
         entry.map(|e| e.address = address).is_some()
     }
 
     fn prune(&mut self) {
-        let least = self.latest_epoch().saturating_sub(REMEMBERED);
-        while let Some((_, name)) = self.sums.ended.first().filter(|(epoch, _)| *epoch < least).cloned() {
+        let oldest = self.latest_epoch().saturating_sub(REMEMBERED_EPOCHS);
+        while let Some((_, name)) =
+            self.aggregates.not_expected.first().filter(|(epoch, _)| *epoch < oldest).cloned()
+        {
             if let Some(old) = self.entries.remove(&name) {
-                self.sums.leave(&old);
+                self.aggregates.subtract(&old);
             }
         }
     }
 
-    /// One sum over all: equal where the same is known, wherever members were heard of.
+    /// One digest over all entries. It is equal where the same is known, whatever the addresses.
     pub fn digest(&self) -> u32 {
-        self.digests().whole()
+        self.digests().combined()
     }
 
-    /// The same by ranges of names.
+    /// Digests by ranges of names.
     pub(crate) fn digests(&self) -> Digests {
-        self.sums.digests
+        self.aggregates.digests
     }
 }
 
@@ -226,47 +240,50 @@
 mod tests {
     use super::*;
 
-    fn at() -> SocketAddr {
+    fn address() -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 9))
     }
 
     #[test]
-    fn whatever_the_order_of_words_all_come_to_the_same() {
+    fn rosters_converge_whatever_the_order_of_merges() {
         let mut author = Roster::default();
-        let mut words =
-            vec![author.set("a", EntryStatus::Expected, at()), author.set("b", EntryStatus::Expected, at())];
-        words.push(author.set("a", EntryStatus::Left, at()));
-        words.push(author.set("c", EntryStatus::Expected, at()));
-        words.push(author.set("a", EntryStatus::Expected, at()));
-        // Another who knew as much has struck it off at the same time.
-        words.push(RosterEntry { status: EntryStatus::Struck, ..words[4].clone() });
-        author.merge(words[5].clone());
-        for first in 0..words.len() {
+        let mut changes = vec![
+            author.set("a", EntryStatus::Expected, address()),
+            author.set("b", EntryStatus::Expected, address()),
+        ];
+        changes.push(author.set("a", EntryStatus::Left, address()));
+        changes.push(author.set("c", EntryStatus::Expected, address()));
+        changes.push(author.set("a", EntryStatus::Expected, address()));
+        // Another member with the same knowledge has struck it off at the same time.
+        changes.push(RosterEntry { status: EntryStatus::Struck, ..changes[4].clone() });
+        author.merge(changes[5].clone());
+        for first in 0..changes.len() {
             let mut other = Roster::default();
-            (0..words.len()).for_each(|i| _ = other.merge(words[(first + i * 5) % words.len()].clone()));
+            (0..changes.len())
+                .for_each(|i| _ = other.merge(changes[(first + i * 5) % changes.len()].clone()));
             assert_eq!(other, author, "from {first}");
-            assert!(!words.iter().any(|w| other.merge(w.clone())), "nothing is new twice");
+            assert!(!changes.iter().any(|w| other.merge(w.clone())), "a second merge changes nothing");
         }
         assert_eq!(author.expected().map(|e| e.name.as_str()).collect::<Vec<_>>(), ["b", "c"]);
     }
 
     #[test]
-    fn those_that_left_are_forgotten_in_the_end_and_nobody_who_is_expected_is() {
+    fn names_that_left_are_pruned_and_expected_names_are_kept() {
         let mut roster = Roster::default();
-        roster.set("stays", EntryStatus::Expected, at());
+        roster.set("stays", EntryStatus::Expected, address());
         for n in 0..6_000 {
             let name = format!("n{n}");
-            roster.set(&name, EntryStatus::Expected, at());
-            roster.set(&name, EntryStatus::Left, at());
+            roster.set(&name, EntryStatus::Expected, address());
+            roster.set(&name, EntryStatus::Left, address());
         }
-        assert!(roster.expects("stays") && roster.entries.len() <= REMEMBERED as usize + 2);
+        assert!(roster.expects("stays") && roster.entries.len() <= REMEMBERED_EPOCHS as usize + 2);
         let mut other = Roster::default();
         roster.entries().for_each(|e| _ = other.merge(e.clone()));
         assert_eq!(other.digests(), roster.digests());
     }
 
     #[test]
-    fn what_is_kept_up_is_what_a_walk_through_all_entries_finds() {
+    fn aggregates_match_a_full_scan_of_the_entries() {
         let mut roster = Roster::default();
         for n in 0..9_000u32 {
             let (name, status) = (
@@ -274,26 +291,26 @@
                 [EntryStatus::Expected, EntryStatus::Left, EntryStatus::Struck][n as usize % 3],
             );
             match n % 2 {
-                0 => _ = roster.set(&name, status, at()),
-                _ => _ = roster.merge(RosterEntry { name, epoch: n / 2 + n % 5, status, address: at() }),
+                0 => _ = roster.set(&name, status, address()),
+                _ => _ = roster.merge(RosterEntry { name, epoch: n / 2 + n % 5, status, address: address() }),
             }
             if n % 50 > 0 {
                 continue;
             }
             let mut digests = Digests::default();
-            roster.entries().for_each(|e| digests.add(&e.name, digest_of(e)));
+            roster.entries().for_each(|e| digests.add(&e.name, entry_digest(e)));
             assert_eq!(roster.digests(), digests, "after {n}");
-            assert_eq!(roster.count(), roster.expected().count(), "after {n}");
+            assert_eq!(roster.expected_count(), roster.expected().count(), "after {n}");
             assert_eq!(Some(roster.latest_epoch()), roster.entries().map(|e| e.epoch).max(), "after {n}");
             assert_eq!(Roster::from_json(1, &roster.to_json(1)), Ok(roster.clone()), "after {n}");
         }
     }
 
     #[test]
-    fn a_file_is_taken_whole_or_named_as_what_it_is() {
+    fn a_truncated_corrupt_foreign_or_newer_file_is_rejected_with_its_reason() {
         let mut roster = Roster::default();
-        roster.set("a", EntryStatus::Expected, at());
-        roster.set("b", EntryStatus::Left, at());
+        roster.set("a", EntryStatus::Expected, address());
+        roster.set("b", EntryStatus::Left, address());
         let text = roster.to_json(7);
         assert_eq!(Roster::from_json(7, &text), Ok(roster));
         assert_eq!(Roster::from_json(8, &text), Err(RosterError::OtherFleet));
@@ -307,7 +324,7 @@
                 "cut at {cut}"
             );
         }
-        let hurt = text.replace("expected", "struck");
-        assert!(matches!(Roster::from_json(7, &hurt), Err(RosterError::Corrupt(_))));
+        let corrupted = text.replace("expected", "struck");
+        assert!(matches!(Roster::from_json(7, &corrupted), Err(RosterError::Corrupt(_))));
     }
 }
