--- a/crates/lease/src/duty.rs
+++ b/crates/lease/src/duty.rs
@@ -52,7 +52,7 @@
     Registered { create_revision: i64 },
     /// All candidates as of `revision`.
     Candidates { candidates: Vec<Candidate>, revision: i64 },
-    /// The watched key was deleted, or the watch can't go on from that revision.
+    /// The watched key was deleted, or the store can no longer watch from the requested revision.
     WatchEnded,
     /// The lease lives for this long from now; 0 means that it no longer exists.
     Renewed { seconds: u64 },
@@ -62,7 +62,7 @@
     Failed,
 }
 
-/// How far a candidate is on the way to the duty.
+/// A candidate's progress towards holding the duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Not campaigning for the duty.
@@ -250,7 +250,7 @@
         if let Some(lease) = self.lease {
             if now >= lease.valid_until {
                 self.lose_lease(now);
-                // The store may keep the lease for a while; revoking it spares the other candidates that
+                // The store may keep the lease for a while. Revoking it saves the other candidates that
                 // wait.
                 self.send(StoreRequest::Revoke { lease: lease.id }, requests);
                 return;
@@ -291,8 +291,8 @@
         let sent_at = match self.step {
             Step::AwaitingReply { number: n, sent_at } if n == number => sent_at,
             Step::Watching { number: n } if n == number => {
-                // Whatever ended the watch, the candidates are read again; at once if the predecessor has
-                // gone.
+                // The candidates are read again in either case: at once if the store ended the watch,
+                // after a delay if the watch failed.
                 match reply {
                     StoreReply::WatchEnded => self.send_next_request(now, requests),
                     _ => self.schedule_retry(now),
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,5 +1,5 @@
-//! A duty that one process holds at a time, by means of a lease in an external store whose keys have
-//! revisions.
+//! Leader election: of several candidates, one process at a time holds a duty, by a lease in an external
+//! store whose keys have revisions.
 //!
 //! No I/O, clocks or global state: requests to the store are returned, its replies and the current time are
 //! passed in. The guarantees and their assumptions are described in `docs/duties.md`.
--- a/crates/membership/benches/cost.rs
+++ b/crates/membership/benches/cost.rs
@@ -89,36 +89,36 @@
         while self.datagram() > 120 {}
     }
 
-    /// Makes the measured member hear from another one that some members don't answer.
-    fn suspect(&mut self, suspects: &[usize], accuser: usize) {
+    /// Makes the measured member suspect the given members, by reports of another member.
+    fn suspect(&mut self, suspects: &[usize], reporter: usize) {
         for &suspect in suspects {
             let mut tries = 0;
             while self.node.state_of(&id(suspect, 1)) != Some(MemberState::Suspect) {
-                self.accuse(suspect, accuser, tries);
+                self.report_suspicion(suspect, reporter, tries);
                 tries += 1;
                 assert!(tries < 100, "nobody suspects {suspect}");
             }
         }
     }
 
-    fn accuse(&mut self, suspect: usize, by: usize, seed: u64) {
+    fn report_suspicion(&mut self, suspect: usize, by: usize, seed: u64) {
         let own = Node::new(config(&[SUBJECT]), id(by, 1), address(by), "1", seed, 0);
-        let mut accuser = own.with_roster(roster(std::iter::once(by)));
+        let mut reporter = own.with_roster(roster(std::iter::once(by)));
         let mut datagrams = Datagrams::new();
         for member in [suspect, SUBJECT] {
-            accuser.receive(0, address(member), &first_datagram(member, by, 0), &mut datagrams);
+            reporter.receive(0, address(member), &first_datagram(member, by, 0), &mut datagrams);
         }
-        // In a later round the accuser would exchange its state with the subject, and then probe other
+        // In a later round the reporter would exchange its state with the subject, and then probe other
         // members.
         for now in (1..=3 * INTERVAL).step_by(100) {
             datagrams.clear();
-            accuser.tick(now, &mut datagrams);
+            reporter.tick(now, &mut datagrams);
             let (own, mut answers) = (address(by), Datagrams::new());
             for (_, bytes) in datagrams.iter().filter(|(to, _)| *to == address(SUBJECT)) {
                 self.node.receive(self.now, own, bytes, &mut answers);
             }
             for (_, bytes) in answers.iter().filter(|(to, _)| *to == own) {
-                accuser.receive(now, address(SUBJECT), bytes, &mut Datagrams::new());
+                reporter.receive(now, address(SUBJECT), bytes, &mut Datagrams::new());
             }
         }
     }
@@ -178,9 +178,9 @@
     bench.drain_gossip();
     println!("{n:5} at rest,  datagram {}", measure_runs(MAX_DATAGRAMS, || datagram(&mut bench)));
     println!("{n:5} at rest,  round    {}", measure_runs(MAX_ROUNDS, || bench.round()));
-    let accuser = n - 1;
-    let suspects: Vec<usize> = (accuser - (n * SUSPECTS_PER_1000).div_ceil(1_000)..accuser).collect();
-    bench.suspect(&suspects, accuser);
+    let reporter = n - 1;
+    let suspects: Vec<usize> = (reporter - (n * SUSPECTS_PER_1000).div_ceil(1_000)..reporter).collect();
+    bench.suspect(&suspects, reporter);
     bench.drain_gossip();
     let count = (0..n).filter(|m| bench.node.state_of(&id(*m, 1)) == Some(MemberState::Suspect)).count();
     println!(
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -60,8 +60,8 @@
 
 /// Members that are asked to ping a target that doesn't answer.
 const INDIRECT_PROBES: usize = 3;
-/// A suspicion lasts at least this many intervals, times the decimal logarithm of the fleet's size (at least 1).
-/// While no other member confirms it, it lasts `MAX_SUSPICION_FACTOR` times as long.
+/// A suspicion lasts at least this many intervals, times the decimal logarithm of the fleet's size (at least
+/// 1). While no other member confirms it, it lasts `MAX_SUSPICION_FACTOR` times as long.
 const MIN_SUSPICION_FACTOR: f64 = 4.0;
 const MAX_SUSPICION_FACTOR: f64 = 6.0;
 /// Each update is sent this many times, times the binary logarithm of the fleet's size.
@@ -337,7 +337,8 @@
         (self.derived.present, self.derived.expected)
     }
 
-    /// The expected entries that don't count as present.
+    /// The expected entries that are not counted: no process of the name is present and in the roster, or
+    /// only one that has been suspect for too long.
     pub fn missing(&self, now: Ms) -> impl Iterator<Item = &RosterEntry> {
         let counted = self.counted_names(now);
         self.roster.expected().filter(move |e| !counted.contains(e.name.as_str()))
@@ -348,7 +349,7 @@
         self.members.absent_names().filter_map(|name| self.roster.get(name))
     }
 
-    /// Sets what keeps this member from its work although it answers.
+    /// Sets the reason why this member can't do its work although it answers.
     pub fn set_impairment(&mut self, impairment: Option<Impairment>) {
         self.impairment = impairment;
     }
@@ -358,7 +359,7 @@
         self.replaced = true;
     }
 
-    /// What keeps this member from its work, as set.
+    /// The reason why this member can't do its work, as set.
     pub fn impairment(&self) -> Option<Impairment> {
         self.impairment
     }
@@ -707,7 +708,7 @@
         self.refresh(now);
     }
 
-    /// Derives the standing again if members or roster have changed, and lets it take effect.
+    /// Recomputes the derived state if members or roster have changed, and updates the standing in force.
     fn refresh(&mut self, now: Ms) {
         if std::mem::take(&mut self.stale) {
             let mut view = self.members.view_digests();
@@ -736,7 +737,7 @@
         self.standing_tracker.observe(self.derived.standing, behind, now, self.config.interval);
     }
 
-    /// Members that have been suspect for long cease to be counted.
+    /// Stops counting members that have been suspect for `discount_delay` or longer.
     fn discount_suspects(&mut self, now: Ms) {
         self.members.discount_suspects_since(now.checked_sub(self.discount_delay()));
     }
@@ -746,7 +747,8 @@
     fn remind_suspects(&mut self, datagrams: &mut Datagrams) {
         for (id, address) in self.pick_in_state(SUSPECTS_PER_REMINDER, MemberState::Suspect, None) {
             self.sequence = self.sequence.wrapping_add(1);
-            // Gossip is spent only on members that answer; on a dead one it would be used up in vain.
+            // Queued updates are not added: each is sent a limited number of times, and those sent to a dead
+            // member would be wasted.
             let (body, own) = (Body::Ping { sequence: self.sequence, target: id.clone() }, self.own_update());
             let about = self.update_about(&id);
             self.push_datagram(address, &body, std::iter::once(own).chain(about), datagrams);
@@ -874,9 +876,9 @@
         self.forgotten.expire(now);
     }
 
-    /// Compares the state with one other member now and then, and contacts one absent member, so that
-    /// partitions that could not reach each other merge again. A member without any contact asks its seeds
-    /// and the expected members until one answers.
+    /// Every `EXCHANGE_ROUNDS` rounds, compares the state with one other member and contacts absent ones, so
+    /// that partitions that could not reach each other merge again. A member without any contact asks its
+    /// seeds and the expected members in each round until one answers.
     fn exchange_state(&mut self, datagrams: &mut Datagrams) {
         if self.members.present_count() == 0 {
             let seeds: Vec<SocketAddr> =
@@ -924,7 +926,8 @@
         summary.is_some_and(|summary| (summary.view_digest, summary.roster_digest) == self.derived.combined)
     }
 
-    /// Records the view that another member reports. If it differs, digests are exchanged now and then.
+    /// Records the view that another member reports. If it differs, digests are exchanged, at most
+    /// once every `DISAGREEMENT_ROUNDS` rounds.
     fn handle_summary(
         &mut self,
         id: &MemberId,
@@ -1194,8 +1197,8 @@
 
 /// Random distinct indices below `total`.
 fn sample_indices(random: &mut Pcg32, count: usize, total: usize) -> Vec<usize> {
-    // Works as if each drawn index were removed from a list and replaced by the last one, without building
-    // the list.
+    // A partial Fisher-Yates shuffle that stores only the positions that were swapped, not the whole list of
+    // indices.
     let mut moved: BTreeMap<usize, usize> = BTreeMap::new();
     let mut sampled = Vec::new();
     for last in (total.saturating_sub(count)..total).rev() {
--- a/crates/membership/src/node/joining.rs
+++ b/crates/membership/src/node/joining.rs
@@ -47,8 +47,8 @@
 }
 
 impl Node {
-    /// Removes a name that is gone for good from the roster. `vouched`: the operator knows that none of the
-    /// absent members lives.
+    /// Removes a name that is gone for good from the roster. `vouched`: the operator confirms that none of
+    /// the absent members lives.
     pub fn strike(
         &mut self,
         name: &str,
@@ -236,7 +236,8 @@
         first.is_some_and(|e| e.name == self.id.name)
     }
 
-    /// Admits the waiting members, as far as that is allowed here and now.
+    /// Admits the waiting members one at a time, as long as this member is the one to admit others, has a
+    /// majority, and most expected members have the previous change.
     pub(super) fn admit_next(&mut self, now: Ms, datagrams: &mut Datagrams) {
         if self.joiners.is_empty() || self.stale || !self.derived.standing.permissions().admit_members {
             return;
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Makes a change here: the latest entry for the name.
+    /// Makes a local change: sets the name's entry, with an epoch above all known ones.
     pub fn set(&mut self, name: &str, status: EntryStatus, address: SocketAddr) -> RosterEntry {
         let epoch = self.latest_epoch().saturating_add(1);
         let entry = RosterEntry { name: name.to_string(), epoch, status, address };
@@ -208,7 +208,7 @@
         true
     }
 
-    /// Updates a member's address, which is no change of the roster.
+    /// Updates a member's address. The epoch stays, as the address is not part of what rosters agree on.
     pub fn update_address(&mut self, name: &str, address: SocketAddr) -> bool {
         let entry = self.entries.get_mut(name).filter(|e| e.address != address);
         entry.map(|e| e.address = address).is_some()
@@ -225,7 +225,7 @@
         }
     }
 
-    /// One digest over all entries. It is equal where the same is known, whatever the addresses.
+    /// One digest over all entries. Rosters that differ only in addresses have the same digest.
     pub fn digest(&self) -> u32 {
         self.digests().combined()
     }
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -5,7 +5,7 @@
 /// The part of the expected members that a member can reach, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Standing {
-    /// Nobody expects this member yet: no fleet has formed, or it has not been admitted.
+    /// The member is not in the roster yet: no fleet has formed, or it has not been admitted.
     Forming,
     /// No other expected member is present.
     Alone,
@@ -62,9 +62,9 @@
 pub struct Permissions {
     /// Take and keep a duty of the fleet.
     pub hold_duties: bool,
-    /// Let a machine drain.
+    /// Grant a machine the permit to drain.
     pub grant_permits: bool,
-    /// Strike off an absent member without the operator's word that it is gone.
+    /// Strike off an absent member without the operator's confirmation that it is gone.
     pub strike_members: bool,
     /// Admit a member that is not expected yet.
     pub admit_members: bool,
@@ -185,7 +185,8 @@
             assert!(!tracker.observe(Standing::Alone, false, 8_000 + turn * 4_000, 1_000));
         }
         assert_eq!((tracker.current, tracker.changes), (Standing::Alone, 2));
-        // Others know more of the roster: what looks like all may be the minority.
+        // Others know roster changes that this member doesn't, so what looks like the whole fleet may be a
+        // minority.
         (0..9).for_each(|n| _ = tracker.observe(Standing::Whole, true, 200_000 + n * 1_000, 1_000));
         assert_eq!(tracker.current, Standing::Minority);
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -30,7 +30,7 @@
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// Somebody gets no answer from it. It may refute that for a while.
+    /// A member got no answer from it. It can refute the suspicion until that times out.
     Suspect,
     /// It did not refute the suspicion in time.
     Failed,
@@ -41,7 +41,7 @@
 /// Why a member can't do its work although it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Impairment {
-    /// The part that decides and delivers makes no progress.
+    /// The core, which makes decisions and delivers, makes no progress.
     Core,
     /// Nothing can be written to the journal, so no new messages are accepted.
     Journal,
@@ -66,7 +66,7 @@
     pub standing: Standing,
     /// The highest roster epoch that the sender knows.
     pub latest_epoch: u32,
-    /// The sender's roster expects somebody.
+    /// The sender's roster expects at least one name.
     pub has_expected: bool,
     /// The sender once had a complete roster, and not only single entries.
     pub roster_complete: bool,
--- a/crates/membership/tests/standing.rs
+++ b/crates/membership/tests/standing.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn striking_off_half_of_a_fleet_needs_the_operators_word() {
+fn striking_off_half_of_a_fleet_needs_the_operators_confirmation() {
     let mut network = formed_network(9, 6);
     assert_eq!(network.strike(0, "n9", false), Err(StrikeError::NotExpected));
     assert_eq!(network.strike(0, "n3", true), Err(StrikeError::Present));
@@ -171,7 +171,7 @@
     network.rounds(60);
     assert_eq!(network.standing(0), Standing::Minority);
     assert_eq!(network.strike(0, "n3", false), Err(StrikeError::NoMajority));
-    // The operator vouches that it is gone.
+    // The operator confirms that it is gone.
     assert_eq!(network.strike(0, "n3", true), Ok(()));
     network.rounds(15);
     assert_eq!((0..3).map(|n| network.standing(n)).collect::<Vec<_>>(), [Standing::Majority; 3]);
