--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -1,5 +1,5 @@
 //! One day: a scenario, a seed and a way to decide.
-use policy::api::{Action, Event, Ns, Settings, Standing};
+use policy::api::{Action, Event, Ns, RouteState, Settings};
 use policy::rules::Sender;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -103,8 +103,8 @@
         self.cost.0.fetch_add(begun.elapsed().as_nanos() as u64, Ordering::Relaxed);
     }
 
-    fn standings(&self, now: Ns) -> Vec<Standing> {
-        self.inner.standings(now)
+    fn route_states(&self, now: Ns) -> Vec<RouteState> {
+        self.inner.route_states(now)
     }
 }
 
--- a/crates/node/src/store/endpoints.rs
+++ b/crates/node/src/store/endpoints.rs
@@ -108,7 +108,7 @@
     ) -> (SocketAddr, Option<String>, usize) {
         let endpoint = &mut self.services.get_mut(service).expect("was picked")[at];
         endpoint.in_flight += 1;
-        endpoint.admission.arrived(class, now);
+        endpoint.admission.record_arrival(class, now);
         (endpoint.address, endpoint.id.clone(), endpoint.in_flight)
     }
 
@@ -117,9 +117,9 @@
         let Some(endpoint) = self.find(call) else { return };
         let (now, ns) = clock;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        endpoint.admission.book(outcome, ns - call.began, call.class, call.level, ns);
+        endpoint.admission.record_end(outcome, ns - call.began, call.class, call.level, ns);
         if let Some(slots) = slots.filter(|slots| *slots > 0 && *slots != endpoint.admission.slots()) {
-            endpoint.admission.change(slots, &call.classes);
+            endpoint.admission.reconfigure(slots, &call.classes);
         }
         match outcome {
             Outcome::Served | Outcome::ServerError => endpoint.failures = 0,
@@ -149,7 +149,7 @@
         let endpoints = self.services.values_mut().flatten();
         endpoints
             .filter(|endpoint| endpoint.in_flight > 0)
-            .for_each(|endpoint| endpoint.admission.choose(now));
+            .for_each(|endpoint| endpoint.admission.update_cap(now));
     }
 
     /// When the next endpoint of a service that is avoided may be tried.
@@ -222,7 +222,7 @@
             avoid_until: 0,
         });
         let slots = slots.unwrap_or(endpoint.admission.slots());
-        endpoint.admission.change(slots, classes);
+        endpoint.admission.reconfigure(slots, classes);
         (endpoint.leaving, endpoint.connections) = (leaving, connections);
         endpoints.push(endpoint);
     };
--- a/crates/policy/benches/destinations.rs
+++ b/crates/policy/benches/destinations.rs
@@ -56,7 +56,7 @@
     }
 
     fn list(&mut self, entries: Vec<Entry>) {
-        self.give(&[Event::List { whole: true, entries }]);
+        self.give(&[Event::List { complete: true, entries }]);
     }
 
     /// A message a millisecond, to each destination in turn; each is served after 20 ms.
@@ -103,7 +103,7 @@
     let base = MEMORY.held();
     let mut run = Run::new();
     let entries = list(DESTS, ENDPOINTS);
-    let whole = Event::List { whole: true, entries };
+    let whole = Event::List { complete: true, entries };
     let before = MEMORY.held();
     let start = Instant::now();
     run.give(std::slice::from_ref(&whole));
@@ -145,7 +145,7 @@
         let at = (i * 7_919) % endpoints;
         let condition = if i % 2 == 0 { Condition::Draining } else { Condition::Ready };
         let entry = Entry { condition, ..entry(at as EndpointId, at % dests, 0) };
-        let event = [Event::List { whole: false, entries: vec![entry] }];
+        let event = [Event::List { complete: false, entries: vec![entry] }];
         let start = Instant::now();
         run.give(&event);
         times.push(start.elapsed());
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -18,8 +18,8 @@
 
 fn settings(slots: usize, classes: &[ClassDeadline]) -> Settings {
     let class = |class: &ClassDeadline| Class {
-        aim: class.deadline,
-        aim_stretch: 0.0,
+        target: class.deadline,
+        target_stretch: 0.0,
         deadline: class.deadline,
         effect: Effect::Unsafe,
         scope: crate::api::DedupScope::All,
@@ -40,7 +40,7 @@
     }
 
     /// Other slots or classes; what was measured of classes that are the same stays.
-    pub fn change(&mut self, slots: usize, classes: &[ClassDeadline]) {
+    pub fn reconfigure(&mut self, slots: usize, classes: &[ClassDeadline]) {
         let changed = settings(slots, classes);
         if changed.slots != self.settings.slots || changed.classes != self.settings.classes {
             self.dest.reset(&self.settings, &changed);
@@ -59,14 +59,14 @@
     }
 
     /// A message of a class has come for this endpoint's service.
-    pub fn arrived(&mut self, class: usize, now: Ns) {
+    pub fn record_arrival(&mut self, class: usize, now: Ns) {
         if let Some(seen) = self.dest.classes.get_mut(class) {
             seen.arrivals.book(now, 1.0);
         }
     }
 
     /// Books how a call ended that was sent when so many were in flight.
-    pub fn book(&mut self, outcome: Outcome, took: Ns, class: usize, level: usize, now: Ns) {
+    pub fn record_end(&mut self, outcome: Outcome, took: Ns, class: usize, level: usize, now: Ns) {
         if class >= self.settings.classes.len() {
             return;
         }
@@ -79,13 +79,13 @@
             done: outcome == Outcome::Served,
             wait: 0,
             report: None,
-            kept: false,
+            reused_connection: false,
         };
         self.dest.book(&end, class, level, now - took, &self.settings, now);
     }
 
     /// Chooses the cap anew; called every control period.
-    pub fn choose(&mut self, now: Ns) {
+    pub fn update_cap(&mut self, now: Ns) {
         self.dest.choose_cap(&self.settings, now);
     }
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Delivered within this time, a message earns its full worth.
-    pub aim: Ns,
+    pub target: Ns,
     /// The aim grows by this multiple of the message's own expected work.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// From when it was first handed in until it is given up.
     pub deadline: Ns,
     pub effect: Effect,
@@ -51,17 +51,17 @@
 impl Class {
     /// What a message earns that is delivered with so much of its time left: all of its worth within the aim, which
     /// grows with the work that is expected of it (`cost`); then ever less, by halves or evenly; past its time nothing.
-    pub fn worth_with(&self, left: Ns, cost: Ns, halves: bool) -> f64 {
-        let (age, deadline) = ((self.deadline - left) as f64, self.deadline as f64);
-        let aim = (self.aim as f64 + self.aim_stretch * cost as f64).min(deadline);
-        let share = if left < 0 {
+    pub fn worth_with_time_left(&self, time_left: Ns, cost: Ns, worth_halves: bool) -> f64 {
+        let (age, deadline) = ((self.deadline - time_left) as f64, self.deadline as f64);
+        let target = (self.target as f64 + self.target_stretch * cost as f64).min(deadline);
+        let share = if time_left < 0 {
             0.0
-        } else if age <= aim {
+        } else if age <= target {
             1.0
-        } else if halves {
-            (-((age - aim) / aim)).exp2().max(self.late_worth)
+        } else if worth_halves {
+            (-((age - target) / target)).exp2().max(self.late_worth)
         } else {
-            1.0 - (1.0 - self.late_worth) * (age - aim) / (deadline - aim).max(1.0)
+            1.0 - (1.0 - self.late_worth) * (age - target) / (deadline - target).max(1.0)
         };
         self.worth * share
     }
@@ -88,7 +88,7 @@
     pub tenants: Vec<Tenant>,
     pub over_share_worth: f64,
     /// Worth halves with each further aim (else it falls evenly to the deadline).
-    pub halves: bool,
+    pub worth_halves: bool,
     pub n_instances: usize,
     pub zone: usize,
     pub tick: Ns,
@@ -108,10 +108,10 @@
     pub hints: bool,
     pub rough_hints: bool,
     pub start_capacity: f64,
-    pub cold: Ns,
-    pub fall_multiple: f64,
-    pub overload_for: Ns,
-    pub key_rest: Ns,
+    pub warm_up: Ns,
+    pub overload_multiple: f64,
+    pub overload_window: Ns,
+    pub key_pause: Ns,
     pub price_handshake: f64,
     pub price_cross_zone: f64,
     pub price_refused: f64,
@@ -144,7 +144,7 @@
     pub class: usize,
     pub dest: DestId,
     /// How long it may still be delivered.
-    pub left: Ns,
+    pub time_left: Ns,
     pub cost: Ns,
     pub key: Option<u64>,
     pub tenant: usize,
@@ -152,9 +152,9 @@
 
 /// What an answer told of the destination's limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
+pub struct LimitReport {
     /// Share of the allowance that is left.
-    pub left: f64,
+    pub remaining: f64,
     /// Calls a second from all senders; 0 where there is no limit.
     pub limit: f64,
 }
@@ -197,10 +197,10 @@
     pub done: bool,
     /// Told to send nothing to that destination (or route) for so long; 0 if not.
     pub wait: Ns,
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     /// It was lost without a word on a connection that had carried calls before: the other side may just have
     /// closed that one while it was idle.
-    pub kept: bool,
+    pub reused_connection: bool,
 }
 
 /// An attempt made by an earlier process, on this one's clock.
@@ -215,7 +215,7 @@
 /// What one process of a sender hands to the next of a route: a destination, or one endpoint of it where
 /// routes are separate. All times are spans from now: left to wait, or passed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct RouteState {
     pub dest: DestId,
     #[serde(skip)]
     pub endpoint: Option<EndpointId>,
@@ -238,7 +238,7 @@
 pub enum Event {
     /// A list of endpoints. `whole`: what is missing from it is gone.
     List {
-        whole: bool,
+        complete: bool,
         entries: Vec<Entry>,
     },
     Message(Message),
@@ -251,14 +251,14 @@
     AttemptEnd(AttemptEnd),
     /// Calls that another process of this sender still has out, by destination: they hold slots. While it
     /// sends by itself (`sends`) it has them all.
-    Elsewhere {
+    OtherProcess {
         sends: bool,
         calls: Vec<DestId>,
     },
     /// One of those calls has ended.
-    EndedElsewhere(AttemptEnd),
+    OtherProcessAttemptEnd(AttemptEnd),
     /// What the process that sent before this one knew.
-    Inherited(Vec<Standing>),
+    RestoredRoutes(Vec<RouteState>),
     /// New settings in place of the old. A class that open messages have keeps its number and its rules: it is
     /// in the table for as long as they are, though no new message comes with it.
     Settings(Settings),
@@ -277,9 +277,9 @@
     Send {
         id: MsgId,
         endpoint: EndpointId,
-        limit: Ns,
+        timeout: Ns,
         /// Its first byte must be written before this time, however long a connection takes.
-        by: Ns,
+        send_by: Ns,
     },
     /// Final: handing it in again is harmless.
     Refuse {
@@ -309,7 +309,7 @@
 
 /// Why a destination's held work does not go now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
+pub enum HoldReason {
     Open,
     /// All slots of the sender are taken.
     Slots,
@@ -336,7 +336,7 @@
     pub oldest: Ns,
     pub in_flight: usize,
     pub cap: usize,
-    pub gate: Gate,
+    pub hold_reason: HoldReason,
     /// Messages served a second, of late.
     pub served: f64,
     /// Calls a second that it takes from all senders as far as told (0: not told), and the part of it used here.
--- a/crates/policy/src/caps_tests.rs
+++ b/crates/policy/src/caps_tests.rs
@@ -39,7 +39,7 @@
             let measured: Vec<usize> = (1..=top).filter(|&l| levels[l].aged(now) >= MEASURED).collect();
             for (level, score) in scores.iter_mut().enumerate().skip(1) {
                 let meets = match measured.iter().min_by_key(|&&m| (m.abs_diff(level), m)) {
-                    Some(&nearest) => levels[nearest].bound(1.0) < class.aim as f64,
+                    Some(&nearest) => levels[nearest].bound(1.0) < class.target as f64,
                     None => level <= self.cap,
                 };
                 if meets {
@@ -70,8 +70,8 @@
 
     fn class(&mut self) -> Class {
         Class {
-            aim: self.one_of(&[SECOND, 2 * SECOND, 3 * SECOND]),
-            aim_stretch: 0.0,
+            target: self.one_of(&[SECOND, 2 * SECOND, 3 * SECOND]),
+            target_stretch: 0.0,
             deadline: 16 * SECOND,
             effect: Effect::Safe,
             scope: DedupScope::All,
@@ -119,7 +119,7 @@
             }
             // As a change of the slots leaves it, a call may have been sent at a level above the highest.
             let level = 1 + draws.under(top(&cfg) + 1);
-            let (outcome, kept) = (draws.one_of(&OUTCOMES), draws.under(10) == 0);
+            let (outcome, reused_connection) = (draws.one_of(&OUTCOMES), draws.under(10) == 0);
             let took = draws.one_of(&[100 * MS, 900 * MS, 1_500 * MS, 2_500 * MS, 4_000 * MS]);
             let end = AttemptEnd {
                 id: 0,
@@ -130,13 +130,13 @@
                 done: false,
                 wait: 0,
                 report: None,
-                kept,
+                reused_connection,
             };
             dest.book(&end, class, level, now - took, &cfg, now);
             use Outcome::{ConnectionLost, NoAnswer, Served, ServerError, TurnedAway};
             let tells = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
-            if tells && !kept {
-                let x = if outcome == Outcome::Served { took } else { cfg.classes[class].aim };
+            if tells && !reused_connection {
+                let x = if outcome == Outcome::Served { took } else { cfg.classes[class].target };
                 plain.classes[class].1[level.min(top(&cfg))].book(now, x as f64);
             }
             dest.choose_cap(&cfg, now);
--- a/crates/policy/src/rules/asking.rs
+++ b/crates/policy/src/rules/asking.rs
@@ -7,34 +7,39 @@
 /// After a failure a sender waits so long for each that there is, and twice and four times that after more.
 const ASK: Ns = 100 * MS;
 
-pub struct Asking {
+pub struct DiscoveryRetry {
     lot: Lot,
     span: Ns,
     failures: u32,
 }
 
-impl Asking {
+impl DiscoveryRetry {
     /// From a question that fails to the next. 1 s of the 5 is for a slow connection, 0.5 s for the answer.
-    pub const EVERY: Ns = 3_500 * MS;
-    pub const SOON: Ns = 200 * MS;
+    pub const MAX_INTERVAL: Ns = 3_500 * MS;
+    pub const SHORT_DELAY: Ns = 200 * MS;
 
-    pub fn new(cfg: &Settings, seed: u64) -> Asking {
+    pub fn new(cfg: &Settings, seed: u64) -> DiscoveryRetry {
         // Not the row of the decisions.
-        Asking { lot: Lot::seeded(!seed), span: ASK * cfg.n_instances.clamp(1, 100) as Ns, failures: 0 }
+        DiscoveryRetry {
+            lot: Lot::seeded(!seed),
+            span: ASK * cfg.n_instances.clamp(1, 100) as Ns,
+            failures: 0,
+        }
     }
 
     /// How far a start or one held up keeps from others: what discovery's agent holds binds it at once.
-    pub fn first(&mut self) -> Ns {
-        (self.lot.draw() * (self.span / 4).min(Asking::SOON) as f64) as Ns
+    pub fn initial_delay(&mut self) -> Ns {
+        (self.lot.draw() * (self.span / 4).min(DiscoveryRetry::SHORT_DELAY) as f64) as Ns
     }
 
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// How long it waits before it asks again, where a question that `took` so long has brought nothing.
-    pub fn failed(&mut self, took: Ns) -> Ns {
-        let span = (self.span << self.failures.min(2)).min((Asking::EVERY - took).max(Asking::SOON));
+    pub fn record_failure(&mut self, took: Ns) -> Ns {
+        let span = (self.span << self.failures.min(2))
+            .min((DiscoveryRetry::MAX_INTERVAL - took).max(DiscoveryRetry::SHORT_DELAY));
         self.failures += 1;
         span - (self.lot.draw() * (span / 2) as f64) as Ns
     }
--- a/crates/policy/src/rules/caps.rs
+++ b/crates/policy/src/rules/caps.rs
@@ -31,10 +31,10 @@
         let (top, cap, mut all) = (top(cfg), self.cap, 0.0);
         let mut spans = Vec::with_capacity(self.classes.len());
         for (seen, class) in self.classes.iter().zip(&cfg.classes) {
-            let (share, aim) = (seen.arrivals.aged(now), class.aim as f64);
+            let (share, target) = (seen.arrivals.aged(now), class.target as f64);
             all += share;
             // An unmeasured level borrows the nearest; an unmeasured class just meets its aim at the cap.
-            let meets = move |s: &Stat| if s.bound(1.0) < aim { share } else { 0.0 };
+            let meets = move |s: &Stat| if s.bound(1.0) < target { share } else { 0.0 };
             let near = seen.levels.nearest(now, MEASURED, top).map(move |(last, s)| (last, meets(s)));
             spans.push(near.chain([(cap, share), (top, 0.0)]));
         }
@@ -58,10 +58,10 @@
     pub fn book(&mut self, e: &AttemptEnd, class: usize, level: usize, sent: Ns, cfg: &Settings, now: Ns) {
         // Quick errors would read as quick answers: all but a served call books the full aim, so that a
         // class misses there once about half of its calls fail.
-        let took = if e.outcome == Outcome::Served { e.took.max(0) } else { cfg.classes[class].aim };
+        let took = if e.outcome == Outcome::Served { e.took.max(0) } else { cfg.classes[class].target };
         // What never reached it, was taken back or broke on a kept connection tells nothing of its load.
         use Outcome::{CalledOff, Crowded, NoConnection, NotSent};
-        if !matches!(e.outcome, NoConnection | Crowded | CalledOff | NotSent) && !e.kept {
+        if !matches!(e.outcome, NoConnection | Crowded | CalledOff | NotSent) && !e.reused_connection {
             self.classes[class].levels.book(level.min(top(cfg)), now, took as f64);
         }
         if e.outcome == Outcome::Served {
@@ -79,11 +79,11 @@
 
     /// How long a call may be out before it is overdue.
     pub fn patience(&self, cfg: &Settings, now: Ns) -> Ns {
-        let aim = cfg.classes.iter().map(|c| c.aim).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
+        let target = cfg.classes.iter().map(|c| c.target).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
         if self.latency.aged(now) < MEASURED {
-            return aim;
+            return target;
         }
-        (self.latency.bound(PATIENCE) as Ns).clamp(LEAST_PATIENCE, aim)
+        (self.latency.bound(PATIENCE) as Ns).clamp(LEAST_PATIENCE, target)
     }
 
     /// Time from one message served to the next, in nanoseconds.
--- a/crates/policy/src/rules/dispatch.rs
+++ b/crates/policy/src/rules/dispatch.rs
@@ -102,13 +102,13 @@
             // A repeat that a slow connection carried past the window would not be dropped as one.
             let held = &self.messages[&id];
             let repeat = held.attempts.iter().any(|a| a.may_have_run);
-            let by = if repeat { self.resend_until(held) } else { held.end };
+            let send_by = if repeat { self.resend_until(held) } else { held.end };
             let held = self.messages.get_mut(&id).expect("held messages are known");
             held.attempts.push(Attempt { endpoint, zone, call, sent: now, out: true, may_have_run: true });
             // Giving up early gains only where the message may then go again.
             let again = now + patience + 2 * self.cfg.tick;
             let useful = again < self.resend_until(&self.messages[&id]);
-            out.push(Action::Send { id, endpoint, limit: if useful { patience } else { 0 }, by });
+            out.push(Action::Send { id, endpoint, timeout: if useful { patience } else { 0 }, send_by });
         }
         let messages = plan.messages;
         let new = Call { endpoint, route, level, sent: now, left, trial, messages, ..Call::default() };
--- a/crates/policy/src/rules/doubt.rs
+++ b/crates/policy/src/rules/doubt.rs
@@ -73,7 +73,7 @@
         if held_off > now {
             return held_off;
         }
-        if route.cold && !route.doubt && now - route.last_failure > self.cfg.cold {
+        if route.cold && !route.doubt && now - route.last_failure > self.cfg.warm_up {
             route.cold = false;
             // All have work that stands by the end of the ramp: an equal share first.
             (route.share, route.share_at) = (route.share.min(fair), now - pace::STALE);
@@ -93,9 +93,9 @@
     fn ramp(&self, c: &Settings, now: Ns) -> f64 {
         let told = [self.limit.unwrap_or(0.0), self.hint].into_iter().find(|&limit| limit > 0.0);
         let capacity = told.unwrap_or_else(|| self.served.per_second(now).max(1.0));
-        let warm = ((now - self.last_failure) as f64 / c.cold.max(1) as f64).clamp(0.0, 1.0);
+        let warm = ((now - self.last_failure) as f64 / c.warm_up.max(1) as f64).clamp(0.0, 1.0);
         let now_able = c.start_capacity + (1.0 - c.start_capacity) * warm;
-        (MARGIN * c.fall_multiple * now_able * capacity).max(0.15) / c.n_instances.max(1) as f64
+        (MARGIN * c.overload_multiple * now_able * capacity).max(0.15) / c.n_instances.max(1) as f64
     }
 
     /// A call goes out: sets when the next one may, should this route be in doubt by then.
--- a/crates/policy/src/rules/handover.rs
+++ b/crates/policy/src/rules/handover.rs
@@ -19,10 +19,10 @@
     }
 
     /// Takes up what the process before this one knew: all that it had in use; all else was at rest.
-    pub(super) fn inherit(&mut self, standings: &[Standing]) {
+    pub(super) fn inherit(&mut self, route_states: &[RouteState]) {
         let now = self.now;
         self.inherited_at = Some(now);
-        for s in standings {
+        for s in route_states {
             self.dest(s.dest);
             let id = (s.dest, s.endpoint.unwrap_or(EndpointId::MAX));
             let Some(route) = self.routes.get_mut(&id) else { continue };
--- a/crates/policy/src/rules/mod.rs
+++ b/crates/policy/src/rules/mod.rs
@@ -23,7 +23,7 @@
 use crate::listing::{Listing, RouteId, Told};
 use crate::lot::Lot;
 use crate::turns::Turns;
-pub use asking::Asking;
+pub use asking::DiscoveryRetry;
 use caps::top;
 pub(crate) use state::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -108,13 +108,13 @@
 
     fn hear(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::List { whole, entries } => self.list(*whole, entries),
+            Event::List { complete, entries } => self.list(*complete, entries),
             Event::Message(m) => self.take(*m),
             Event::Resumed { message, past } => self.resume(*message, past, out),
             Event::AttemptEnd(e) => self.attempt_end(e, out),
-            Event::Elsewhere { sends, calls } => self.elsewhere(*sends, calls),
-            Event::EndedElsewhere(e) => self.ended_elsewhere(e),
-            Event::Inherited(standings) => self.inherit(standings),
+            Event::OtherProcess { sends, calls } => self.elsewhere(*sends, calls),
+            Event::OtherProcessAttemptEnd(e) => self.ended_elsewhere(e),
+            Event::RestoredRoutes(route_states) => self.inherit(route_states),
             Event::Settings(new) => self.settings(new),
             Event::Expired { id } => self.close(*id),
             Event::Evacuate(goes) => self.evacuate(*goes, out),
@@ -165,7 +165,7 @@
     /// Whether nothing depends on an endpoint that takes no new work: calls out; a told wait, an outage seen.
     fn may_go(&self, id: EndpointId) -> bool {
         let Some(e) = self.endpoints.get(&id) else { return true };
-        let (route, keep) = (self.routes.get(&self.route_of(id)), KEEP.max(self.cfg.cold));
+        let (route, keep) = (self.routes.get(&self.route_of(id)), KEEP.max(self.cfg.warm_up));
         let seen = |r: &Route| r.last_failure.max(r.next_trial).max(r.wait_until).saturating_add(keep);
         e.in_flight == 0 && (self.shares_route(id) || route.is_none_or(|r| seen(r) <= self.now))
     }
@@ -178,7 +178,7 @@
         let unused = !self.active.contains(&id) && !self.elsewhere.contains(&id);
         let faded =
             dest.latency.aged(now) < MEASURED && self.listing.places(id).all(|e| closed(&self.endpoints[&e]));
-        unused && faded && self.routes_of(id).all(|(_, route)| route.is_at_rest(cfg.cold, fair, now))
+        unused && faded && self.routes_of(id).all(|(_, route)| route.is_at_rest(cfg.warm_up, fair, now))
     }
 
     /// Takes new settings: each destination keeps what of its measures still means something.
--- a/crates/policy/src/rules/outcomes.rs
+++ b/crates/policy/src/rules/outcomes.rs
@@ -63,7 +63,7 @@
         let Some(place) = self.endpoints.get_mut(&e.endpoint) else { return };
         let left = e.report.and_then(|report| route.reported(report));
         // The endpoint may have closed an idle connection: whether it is down a new one will tell.
-        let lost = e.outcome == Outcome::ConnectionLost && !e.kept;
+        let lost = e.outcome == Outcome::ConnectionLost && !e.reused_connection;
         match e.outcome {
             Outcome::Served => {
                 (place.served_at, place.avoid_until) = (now, now);
--- a/crates/policy/src/rules/pace.rs
+++ b/crates/policy/src/rules/pace.rs
@@ -44,7 +44,7 @@
     }
 
     /// Books a report of the limit; tells what of the allowance is left, if there is one.
-    pub fn reported(&mut self, report: Report) -> Option<f64> {
+    pub fn reported(&mut self, report: LimitReport) -> Option<f64> {
         if !report.limit.is_finite() || report.limit < 0.0 {
             return None;
         }
@@ -52,7 +52,7 @@
             Some(old) if old > 0.0 && report.limit > 0.0 => old + 0.3 * (report.limit - old),
             _ => report.limit,
         });
-        (report.limit > 0.0).then_some(report.left)
+        (report.limit > 0.0).then_some(report.remaining)
     }
 
     /// A call was served. The share follows what is left of the allowance: others' calls are not seen
--- a/crates/policy/src/rules/queue.rs
+++ b/crates/policy/src/rules/queue.rs
@@ -12,7 +12,7 @@
             return;
         }
         let now = self.now;
-        let end = now + message.left.clamp(0, self.cfg.classes[message.class].deadline);
+        let end = now + message.time_left.clamp(0, self.cfg.classes[message.class].deadline);
         let held = Held { message, arrived: now, end, attempts: Vec::new(), over: false, found: false };
         self.key(&message).into_iter().for_each(|key| self.keys.join(key, message.id));
         self.messages.insert(message.id, held);
@@ -70,13 +70,13 @@
     /// Worth of a message if it were delivered at a time.
     pub(super) fn worth(&self, held: &Held, at: Ns) -> f64 {
         let class = &self.cfg.classes[held.message.class];
-        class.worth_with(held.end - at, held.message.cost, self.cfg.halves)
+        class.worth_with_time_left(held.end - at, held.message.cost, self.cfg.worth_halves)
     }
 
     /// When a message's time left no longer covers a call.
     fn last_call(&self, held: &Held) -> Ns {
         let latency = self.dests[&held.message.dest].latency.mean() as Ns;
-        held.end - (latency / 2).min(self.cfg.classes[held.message.class].aim / 4).max(2 * self.cfg.tick)
+        held.end - (latency / 2).min(self.cfg.classes[held.message.class].target / 4).max(2 * self.cfg.tick)
     }
 
     /// Ends all that is held, and calls off what is out: it ends as its outcome comes.
--- a/crates/policy/src/rules/retries.rs
+++ b/crates/policy/src/rules/retries.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn rest_key(&mut self, message: &Message) {
-        let until = self.now + self.cfg.key_rest;
+        let until = self.now + self.cfg.key_pause;
         self.key(message).into_iter().for_each(|key| self.keys.rest(key, until));
     }
 }
--- a/crates/policy/src/rules/routing.rs
+++ b/crates/policy/src/rules/routing.rs
@@ -8,8 +8,8 @@
 
 impl Sender {
     /// Follows the list. Draining and gone endpoints are unusable before anything of the batch is sent.
-    pub(super) fn list(&mut self, whole: bool, entries: &[Entry]) {
-        if whole {
+    pub(super) fn list(&mut self, complete: bool, entries: &[Entry]) {
+        if complete {
             self.listing.withdraw_others(entries);
         }
         for entry in entries {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -66,7 +66,7 @@
 
 /// What a program needs besides the module's settings.
 #[derive(Clone, Debug)]
-pub struct Around {
+pub struct HostSettings {
     /// Where x0 and x1 stand in a load report.
     pub x0: Option<usize>,
     pub x1: Option<usize>,
@@ -99,8 +99,8 @@
         };
         let window = c.get("WindowNs");
         classes.push(Class {
-            aim: c.get("PromiseNs").number(1.0)? as Ns,
-            aim_stretch: c.get("AimStretch").number_or(0.0, 0.0)?,
+            target: c.get("PromiseNs").number(1.0)? as Ns,
+            target_stretch: c.get("AimStretch").number_or(0.0, 0.0)?,
             deadline: c.get("DeadlineNs").number(1.0)? as Ns,
             effect,
             scope,
@@ -129,7 +129,7 @@
         .collect()
 }
 
-pub fn read(value: &Value) -> Result<(Settings, Around), String> {
+pub fn read(value: &Value) -> Result<(Settings, HostSettings), String> {
     let root = At { value, path: String::new() };
     if !value.is_object() {
         return Err("not an object".to_string());
@@ -157,7 +157,7 @@
         kinds,
         tenants,
         over_share_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
-        halves: family.get("Decay").word().unwrap_or("line") == "halves",
+        worth_halves: family.get("Decay").word().unwrap_or("line") == "halves",
         n_instances: root.get("NInstances").number(1.0)? as usize,
         zone: root.get("Zone").number_or(0.0, 0.0)? as usize,
         tick: root.get("TickNs").number(0.0)? as Ns,
@@ -173,17 +173,17 @@
         hints: matches!(weights, "nominal" | "rough"),
         rough_hints: weights == "rough",
         start_capacity: safety.get("StartCapacity").number(0.0)?,
-        cold: safety.get("ColdNs").number(0.0)? as Ns,
-        fall_multiple: safety.get("FallMultiple").number(0.0)?,
-        overload_for: safety.get("OverloadForNs").number(0.0)? as Ns,
-        key_rest: safety.get("KeyRestNs").number_or(0.0, 0.0)? as Ns,
+        warm_up: safety.get("ColdNs").number(0.0)? as Ns,
+        overload_multiple: safety.get("FallMultiple").number(0.0)?,
+        overload_window: safety.get("OverloadForNs").number(0.0)? as Ns,
+        key_pause: safety.get("KeyRestNs").number_or(0.0, 0.0)? as Ns,
         price_handshake: prices.get("Handshake").number_or(0.0, 0.0)?,
         price_cross_zone: prices.get("CrossZone").number_or(0.0, 0.0)?,
         price_refused: family.get("RefusalCost").number_or(0.0, 0.0)?,
         price_waste: prices.get("Waste").number_or(0.0, 0.0)?,
         route_fee: fees.iter().map(|f| f.number(0.0)).collect::<Result<Vec<_>, String>>()?,
     };
-    let around = Around {
+    let host_settings = HostSettings {
         x0: column("x0"),
         x1: column("x1"),
         classes: names(root.get("Services").list()?, Some("Name")),
@@ -191,5 +191,5 @@
         kinds: names(root.get("Kinds").list()?, None),
         zones: names(root.get("Localities").list()?, None),
     };
-    Ok((settings, around))
+    Ok((settings, host_settings))
 }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -9,18 +9,19 @@
         let dests = self.active.iter().filter_map(|id| Some((id, self.dests.get(id)?)));
         let view = |(&id, dest): (&DestId, &Dest)| {
             let arrived = dest.held.iter().filter_map(|m| self.messages.get(m)).map(|h| h.arrived).min()?;
-            let (held, oldest, gate) = (dest.held.len(), self.now - arrived, self.gate(id, dest));
+            let (held, oldest, hold_reason) =
+                (dest.held.len(), self.now - arrived, self.hold_reason(id, dest));
             let route = self.listing.places(id).find_map(|e| self.routes.get(&self.route_of(e)));
             let (limit, share) = route.map_or((0.0, 0.0), |r| (r.hint, r.share_now(self.now, self.fair())));
             let (in_flight, cap) = (dest.in_flight, dest.cap);
             let served = dest.served.per_second(self.now);
-            Some(Backlog { dest: id, held, oldest, in_flight, cap, gate, served, limit, share })
+            Some(Backlog { dest: id, held, oldest, in_flight, cap, hold_reason, served, limit, share })
         };
         (self.calls.len(), dests.filter_map(view).collect())
     }
 
     /// Endpoints that get nothing now, whatever room there is: failing, in doubt, or told to wait for.
-    pub fn avoided(&self, now: Ns) -> impl Iterator<Item = EndpointId> + '_ {
+    pub fn avoided_endpoints(&self, now: Ns) -> impl Iterator<Item = EndpointId> + '_ {
         let avoids = move |id: &EndpointId, e: &Endpoint| {
             let route = self.routes.get(&self.route_of(*id));
             let shut = route.is_some_and(|r| r.doubt || r.wait_until > now);
@@ -31,9 +32,9 @@
 
     /// What one process hands to the next: each wait, doubt and cold route, and the pace, as they stand. What it leaves
     /// out is at rest.
-    pub fn standings(&self, now: Ns) -> Vec<Standing> {
+    pub fn route_states(&self, now: Ns) -> Vec<RouteState> {
         let left = |at: Ns| at.saturating_sub(now).max(0);
-        let standing = |(&(dest, endpoint), r): (&RouteId, &Route)| Standing {
+        let standing = |(&(dest, endpoint), r): (&RouteId, &Route)| RouteState {
             dest,
             endpoint: (endpoint != EndpointId::MAX).then_some(endpoint),
             wait: left(r.wait_until),
@@ -54,25 +55,25 @@
     }
 
     /// When a batch without events may let go of memory, while none comes anyway; no decision waits for it.
-    pub fn forgets_at(&self) -> Option<Ns> {
+    pub fn next_cleanup(&self) -> Option<Ns> {
         let holds = !self.dests.is_empty() || self.listing.unusable().next().is_some();
         holds.then(|| (self.decided_at + PERIOD).max(self.forgot_at + FORGET_EVERY))
     }
 
-    fn gate(&self, id: DestId, dest: &Dest) -> Gate {
+    fn hold_reason(&self, id: DestId, dest: &Dest) -> HoldReason {
         let of_route = |r: &Route| match () {
-            _ if r.wait_until > self.now => Gate::Wait,
-            _ if r.doubt => Gate::Doubt,
-            _ if r.not_before > self.now => Gate::Pause,
-            _ if r.bucket.tokens < 1.0 => Gate::Pace,
-            _ => Gate::Open,
+            _ if r.wait_until > self.now => HoldReason::Wait,
+            _ if r.doubt => HoldReason::Doubt,
+            _ if r.not_before > self.now => HoldReason::Pause,
+            _ if r.bucket.tokens < 1.0 => HoldReason::Pace,
+            _ => HoldReason::Open,
         };
-        let gates = self.open_routes(id).map(of_route);
-        match gates.reduce(|a, b| if a == Gate::Open { a } else { b }) {
-            None => Gate::NoEndpoint,
-            _ if self.is_full() => Gate::Slots,
-            _ if self.is_capped(id, dest) => Gate::Cap,
-            Some(gate) => gate,
+        let hold_reasons = self.open_routes(id).map(of_route);
+        match hold_reasons.reduce(|a, b| if a == HoldReason::Open { a } else { b }) {
+            None => HoldReason::NoEndpoint,
+            _ if self.is_full() => HoldReason::Slots,
+            _ if self.is_capped(id, dest) => HoldReason::Cap,
+            Some(hold_reason) => hold_reason,
         }
     }
 }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -18,11 +18,11 @@
     let mut play = |admission: &mut Admission, slow_above: usize, rounds: usize| {
         for _ in 0..rounds {
             now += 20 * MS;
-            admission.arrived(0, now);
+            admission.record_arrival(0, now);
             let level = admission.cap();
             let took = if level > slow_above { 150 * MS } else { 40 * MS };
-            admission.book(Outcome::Served, took, 0, level, now);
-            admission.choose(now);
+            admission.record_end(Outcome::Served, took, 0, level, now);
+            admission.update_cap(now);
         }
     };
     play(&mut admission, 2, 600);
@@ -36,9 +36,9 @@
     let mut admission = Admission::new(8, &CLASSES);
     for i in 1..200 {
         let now = i * 20 * MS;
-        admission.arrived(0, now);
-        admission.book(Outcome::ServerError, MS, 0, admission.cap(), now);
-        admission.choose(now);
+        admission.record_arrival(0, now);
+        admission.record_end(Outcome::ServerError, MS, 0, admission.cap(), now);
+        admission.update_cap(now);
     }
     assert_eq!(admission.cap(), 1, "where every class misses everywhere the slots are others'");
 }
@@ -46,6 +46,6 @@
 #[test]
 fn other_slots_keep_what_was_measured() {
     let mut admission = Admission::new(8, &CLASSES);
-    admission.change(4, &CLASSES);
+    admission.reconfigure(4, &CLASSES);
     assert_eq!((admission.cap(), admission.slots()), (3, 4));
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: 2 * SECOND,
-        aim_stretch: 0.0,
+        target: 2 * SECOND,
+        target_stretch: 0.0,
         deadline: 16 * SECOND,
         effect,
         scope: DedupScope::All,
@@ -37,10 +37,10 @@
         idle_close: 10 * SECOND,
         dial_timeout: SECOND,
         start_capacity: 0.2,
-        cold: 10 * SECOND,
-        fall_multiple: 2.0,
-        overload_for: 3 * SECOND,
-        key_rest: SECOND,
+        warm_up: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
+        key_pause: SECOND,
         ..Settings::default()
     }
 }
@@ -50,14 +50,14 @@
 }
 
 pub fn message(id: MsgId, dest: DestId, class: usize) -> Message {
-    let left = 16 * SECOND;
-    Message { id, class, dest, left, cost: 0, key: None, tenant: 0 }
+    let time_left = 16 * SECOND;
+    Message { id, class, dest, time_left, cost: 0, key: None, tenant: 0 }
 }
 
 pub fn end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
     let done = outcome == Outcome::Served;
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
+    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, reused_connection: false }
 }
 
 pub struct Stand {
@@ -69,7 +69,7 @@
 impl Stand {
     pub fn new(settings: Settings, entries: &[Entry]) -> Stand {
         let mut stand = Stand { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
-        stand.give(vec![Event::List { whole: true, entries: entries.to_vec() }]);
+        stand.give(vec![Event::List { complete: true, entries: entries.to_vec() }]);
         stand
     }
 
--- a/crates/policy/tests/forget.rs
+++ b/crates/policy/tests/forget.rs
@@ -16,7 +16,7 @@
 }
 
 fn remembered(s: &Stand) -> Vec<DestId> {
-    s.sender.standings(s.now).iter().map(|standing| standing.dest).collect()
+    s.sender.route_states(s.now).iter().map(|standing| standing.dest).collect()
 }
 
 /// So many messages of a class at once; tells which are sent in the same moment.
@@ -44,7 +44,7 @@
     for (id, endpoint) in sent {
         s.end(end(id, 0, endpoint, Outcome::ConnectionLost));
     }
-    assert!(s.sender.standings(s.now).iter().any(|standing| standing.dest == dest && standing.doubt));
+    assert!(s.sender.route_states(s.now).iter().any(|standing| standing.dest == dest && standing.doubt));
 }
 
 fn hints(hint: f64) -> (Settings, Entry) {
@@ -81,14 +81,14 @@
 #[test]
 fn batches_at_the_times_that_it_tells_are_enough_to_forget_and_end_with_that() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
-    assert_eq!(s.sender.forgets_at(), None, "what is only listed stays");
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
-    assert!(s.sender.forgets_at().is_some(), "an endpoint is gone");
+    assert_eq!(s.sender.next_cleanup(), None, "what is only listed stays");
+    s.give(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
+    assert!(s.sender.next_cleanup().is_some(), "an endpoint is gone");
     let sent = burst(&mut s, 1, 1, 1, 1);
     s.now += 50 * MS;
     serve(&mut s, &sent);
     let mut batches = 0;
-    while let Some(at) = s.sender.forgets_at() {
+    while let Some(at) = s.sender.next_cleanup() {
         assert!(at > s.now && batches < 20, "batch {batches}: {at} at {}", s.now);
         s.now = at;
         s.give(vec![]);
@@ -122,18 +122,18 @@
     idle(&mut s, 1_000 * SECOND);
     let sent = burst(&mut s, 1, 9, 1, 1);
     assert_eq!(sent.len(), 1, "a single trial");
-    assert_eq!(s.sender.avoided(s.now).collect::<Vec<_>>(), [1]);
+    assert_eq!(s.sender.avoided_endpoints(s.now).collect::<Vec<_>>(), [1]);
     expire(&mut s, 1..10);
     s.now += 50 * MS;
     serve(&mut s, &sent);
     idle(&mut s, 200 * SECOND);
-    assert!(s.sender.avoided(s.now).next().is_none());
+    assert!(s.sender.avoided_endpoints(s.now).next().is_none());
 }
 
 #[test]
 fn a_cold_return_keeps_its_ramp_through_a_pause_longer_than_anything_else_is_kept() {
-    let cold = 400 * SECOND;
-    let mut s = Stand::new(Settings { cold, ..settings() }, &[entry(1, 1, 0)]);
+    let warm_up = 400 * SECOND;
+    let mut s = Stand::new(Settings { warm_up, ..settings() }, &[entry(1, 1, 0)]);
     bring_down(&mut s, 1);
     idle(&mut s, 5 * SECOND);
     let sent = burst(&mut s, 1, 1, 1, 1);
@@ -144,7 +144,7 @@
     expire(&mut s, 2..11);
     s.now += 50 * MS;
     serve(&mut s, &sent);
-    idle(&mut s, cold + 200 * SECOND);
+    idle(&mut s, warm_up + 200 * SECOND);
     assert!(remembered(&s).is_empty(), "warm again, and long ago");
 }
 
@@ -167,7 +167,7 @@
 fn a_limit_that_was_reported_outlives_all_else() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     let sent = burst(&mut s, 1, 1, 1, 1);
-    let report = Some(Report { left: 0.9, limit: 2.0 });
+    let report = Some(LimitReport { remaining: 0.9, limit: 2.0 });
     s.end(AttemptEnd { report, ..end(1, 0, sent[0].1, Outcome::Served) });
     idle(&mut s, 100 * SECOND);
     assert!(remembered(&s).is_empty());
@@ -181,16 +181,16 @@
     let classes = settings().classes.iter().map(long).collect();
     let cfg = Settings { classes, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 0), entry(2, 2, 0)]);
-    let message = |id, dest| Message { left: deadline, ..message(id, dest, 2) };
+    let message = |id, dest| Message { time_left: deadline, ..message(id, dest, 2) };
     let sent = sends(&s.give((1..12).map(|id| Event::Message(message(id, 1))).collect()));
     assert_eq!(sent.len(), 9);
     s.give(vec![Event::List {
-        whole: false,
+        complete: false,
         entries: vec![Entry { condition: Condition::Draining, ..entry(2, 2, 0) }],
     }]);
     s.take(message(20, 2));
     idle(&mut s, 200 * SECOND);
-    let back = s.give(vec![Event::List { whole: false, entries: vec![entry(2, 2, 0)] }]);
+    let back = s.give(vec![Event::List { complete: false, entries: vec![entry(2, 2, 0)] }]);
     assert_eq!(sends(&back), [(20, 2)], "what was held for an endpoint goes to it");
     for (id, endpoint) in sent {
         s.end(end(id, 0, endpoint, Outcome::Served));
@@ -201,18 +201,18 @@
 #[test]
 fn what_another_process_knew_of_a_destination_never_used_here_binds() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
-    let standing = |dest| Standing {
+    let standing = |dest| RouteState {
         dest,
         failed: 300 * SECOND,
         share: 1.0,
         share_age: 300 * SECOND,
-        ..Standing::default()
+        ..RouteState::default()
     };
-    let waits = Standing { wait: 300 * SECOND, tokens: 1.0, ..standing(1) };
-    let doubts = Standing { doubt: true, failures: 3, failing: 0.7, tokens: 1.0, ..standing(2) };
-    s.give(vec![Event::Inherited(vec![waits, doubts])]);
+    let waits = RouteState { wait: 300 * SECOND, tokens: 1.0, ..standing(1) };
+    let doubts = RouteState { doubt: true, failures: 3, failing: 0.7, tokens: 1.0, ..standing(2) };
+    s.give(vec![Event::RestoredRoutes(vec![waits, doubts])]);
     let told = AttemptEnd { wait: 300 * SECOND, ..end(77, 0, 3, Outcome::TurnedAway) };
-    s.give(vec![Event::EndedElsewhere(told)]);
+    s.give(vec![Event::OtherProcessAttemptEnd(told)]);
     idle(&mut s, 100 * SECOND);
     assert!(burst(&mut s, 1, 9, 1, 1).is_empty());
     assert_eq!(burst(&mut s, 20, 9, 2, 1).len(), 1, "a trial");
@@ -225,12 +225,12 @@
     let mut s = Stand::new(Settings { n_instances: 510, ..cfg }, &[entry]);
     idle(&mut s, 60 * SECOND);
     let failed = 300 * SECOND;
-    s.give(vec![Event::Inherited(vec![Standing {
+    s.give(vec![Event::RestoredRoutes(vec![RouteState {
         dest: 1,
         failed,
         share: 1e-5,
         tokens: 4.0,
-        ..Standing::default()
+        ..RouteState::default()
     }])]);
     idle(&mut s, 12 * SECOND);
     assert_eq!(burst(&mut s, 1, 9, 1, 1).len(), 1, "not the four that all of the limit allows");
@@ -241,10 +241,10 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     let sent = burst(&mut s, 1, 1, 1, 1);
     serve(&mut s, &sent);
-    s.give(vec![Event::Elsewhere { sends: false, calls: vec![1] }]);
+    s.give(vec![Event::OtherProcess { sends: false, calls: vec![1] }]);
     idle(&mut s, 200 * SECOND);
     assert_eq!(remembered(&s), [1]);
-    s.give(vec![Event::Elsewhere { sends: false, calls: vec![] }]);
+    s.give(vec![Event::OtherProcess { sends: false, calls: vec![] }]);
     idle(&mut s, 20 * SECOND);
     assert!(remembered(&s).is_empty());
 }
@@ -265,7 +265,7 @@
         let mut s = Stand::new(Settings { n_instances: 10, ..settings() }, &[entry(1, 1, 0)]);
         s.now += idled;
         // It tells of its limit, and that others use some of it too: the share stays.
-        let report = Some(Report { left: 0.4, limit: 20.0 });
+        let report = Some(LimitReport { remaining: 0.4, limit: 20.0 });
         let mut sent = burst(&mut s, 1, 60, 1, 1);
         let (mut count, until) = (0, s.now + 2 * SECOND);
         while s.now < until {
@@ -287,7 +287,7 @@
     let second = Entry { endpoint: 2, ..first };
     let mut s = Stand::new(cfg, &[first, second]);
     let entries = vec![Entry { hint: 0.01, ..first }];
-    s.give(vec![Event::List { whole: false, entries }]);
+    s.give(vec![Event::List { complete: false, entries }]);
     s.now += 20 * SECOND;
     assert_eq!(burst(&mut s, 1, 9, 1, 1).len(), 1, "one call in 100 s");
 }
@@ -329,7 +329,7 @@
     for used in [false, true] {
         let mut s = Stand::new(settings(), &[entry(1, 1, 1), entry(2, 1, 1)]);
         let sent = if used { burst(&mut s, 1, 2, 1, 1) } else { Vec::new() };
-        s.give(vec![Event::List { whole: false, entries: vec![entry(1, 2, 1)] }]);
+        s.give(vec![Event::List { complete: false, entries: vec![entry(1, 2, 1)] }]);
         serve(&mut s, &sent);
         let one = burst(&mut s, 100, 4, 1, 1);
         let two = burst(&mut s, 200, 4, 2, 1);
@@ -348,9 +348,9 @@
         let mut s = Stand::new(settings(), &[entry(1, 1, kind)]);
         let sent = burst(&mut s, 1, 1, 1, 1);
         s.end(AttemptEnd { wait: 300 * SECOND, ..end(1, 0, sent[0].1, Outcome::TurnedAway) });
-        s.give(vec![Event::List { whole: true, entries: vec![] }]);
+        s.give(vec![Event::List { complete: true, entries: vec![] }]);
         idle(&mut s, 200 * SECOND);
-        s.give(vec![Event::List { whole: false, entries: vec![entry(1, 1, kind)] }]);
+        s.give(vec![Event::List { complete: false, entries: vec![entry(1, 1, kind)] }]);
         assert!(burst(&mut s, 2, 1, 1, 1).is_empty(), "kind {kind}");
     }
 }
@@ -360,7 +360,7 @@
     let gone = |e| Entry { condition: Condition::Gone, ..e };
     let mut s =
         Stand::new(settings(), &[gone(entry(1, 1, 0)), entry(1, 1, 0), entry(2, 2, 0), gone(entry(2, 2, 0))]);
-    s.give(vec![Event::List { whole: false, entries: vec![gone(entry(9, 9, 0))] }]);
+    s.give(vec![Event::List { complete: false, entries: vec![gone(entry(9, 9, 0))] }]);
     assert_eq!(burst(&mut s, 1, 1, 1, 1), [(1, 1)]);
     assert!(burst(&mut s, 2, 1, 2, 1).is_empty());
     assert!(burst(&mut s, 3, 1, 9, 1).is_empty());
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -45,7 +45,7 @@
         let condition = if i % 2 == 0 { Condition::Draining } else { Condition::Ready };
         let entries = vec![Entry { condition, ..entry(7, 7, 0) }];
         s.now += MS;
-        s.give(vec![Event::List { whole: false, entries }]);
+        s.give(vec![Event::List { complete: false, entries }]);
     }
     (MEMORY.calls() - before) as f64 / f64::from(count)
 }
@@ -65,7 +65,7 @@
     let many = change(&mut s);
     assert!(many <= few * 1.5, "allocations for a changed entry: {few} of 30, {many} of {DESTS}");
     // The same list again takes nothing more.
-    s.give(vec![Event::List { whole: true, entries: entries.clone() }]);
+    s.give(vec![Event::List { complete: true, entries: entries.clone() }]);
     idle(&mut s, SECOND);
     serve(&mut s, 0, 0..1_000);
     idle(&mut s, SECOND);
@@ -76,7 +76,10 @@
     assert!(per(rest, 1_000) < 20.0, "{:.0} bytes for one that was in use", per(rest, 1_000));
     // Gone one after the other, and at once.
     for e in entries.iter().skip(10).take(1_000) {
-        s.give(vec![Event::List { whole: false, entries: vec![Entry { condition: Condition::Gone, ..*e }] }]);
+        s.give(vec![Event::List {
+            complete: false,
+            entries: vec![Entry { condition: Condition::Gone, ..*e }],
+        }]);
     }
     idle(&mut s, 30 * SECOND);
     let fewer = MEMORY.held() - empty;
@@ -86,7 +89,7 @@
         "{:.0} bytes came back with each endpoint that is gone",
         per(gone, 1_000)
     );
-    s.give(vec![Event::List { whole: true, entries: list(10, 10) }]);
+    s.give(vec![Event::List { complete: true, entries: list(10, 10) }]);
     idle(&mut s, 120 * SECOND);
     let last = MEMORY.held() - empty;
     assert!(last < 20_000, "{last} bytes for a list of 10");
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -2,7 +2,7 @@
 mod common;
 use common::*;
 use policy::api::*;
-use policy::rules::{Asking, Sender};
+use policy::rules::{DiscoveryRetry, Sender};
 
 #[test]
 fn sends_at_once_below_the_cap_and_holds_above_it() {
@@ -84,7 +84,7 @@
 fn two_failures_leave_single_spaced_trials_and_the_ramp_keeps_its_budget_over_any_window() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     let limit = 10.0;
-    let report = Some(Report { left: 0.9, limit });
+    let report = Some(LimitReport { remaining: 0.9, limit });
     s.take(message(0, 1, 1));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -198,12 +198,12 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 1, 0)]);
     let draining = Entry { condition: Condition::Draining, ..entry(1, 1, 0) };
     let mut events: Vec<Event> = (0..4).map(|i| Event::Message(message(i, 1, 0))).collect();
-    events.push(Event::List { whole: false, entries: vec![draining] });
+    events.push(Event::List { complete: false, entries: vec![draining] });
     let sent = sends(&s.give(events));
     assert_eq!(sent.len(), 4);
     assert!(sent.iter().all(|&(_, e)| e == 2));
     // Missing from a whole list is gone.
-    s.give(vec![Event::List { whole: true, entries: vec![entry(3, 1, 0)] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![entry(3, 1, 0)] }]);
     assert_eq!(sends(&s.take(message(9, 1, 0))), [(9, 3)]);
 }
 
@@ -292,7 +292,7 @@
 #[test]
 fn a_known_limit_paces_the_calls() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let report = Some(Report { left: 0.3, limit: 4.0 });
+    let report = Some(LimitReport { remaining: 0.3, limit: 4.0 });
     s.take(message(0, 1, 0));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -314,19 +314,19 @@
 
 #[test]
 fn absurd_input_is_bounded_and_passed_over() {
-    let cfg = Settings { slots: 0, max_open: 0, tick: 0, cold: 0, n_instances: 0, ..settings() };
+    let cfg = Settings { slots: 0, max_open: 0, tick: 0, warm_up: 0, n_instances: 0, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 99)]);
     s.take(message(1, 1, 0));
-    s.take(Message { left: -5, ..message(2, 7, 0) });
+    s.take(Message { time_left: -5, ..message(2, 7, 0) });
     s.take(message(3, 1, 77));
     s.end(end(42, 3, 9, Outcome::Served));
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![] }]);
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     for (i, limit) in [-3.0, f64::NAN, f64::INFINITY, 0.0, 1e300].into_iter().enumerate() {
         let id = i as MsgId;
         assert_eq!(sends(&s.take(message(id, 1, 0))).len(), 1, "traffic goes on after limit {limit}");
         s.now += 20 * MS;
-        let report = Some(Report { left: f64::NAN, limit });
+        let report = Some(LimitReport { remaining: f64::NAN, limit });
         s.end(AttemptEnd { report, ..end(id, 0, 1, Outcome::Served) });
         s.now -= 10 * MS;
     }
@@ -448,7 +448,7 @@
 fn senders_that_start_together_ask_discovery_out_of_step() {
     let last = |n: usize| {
         let cfg = Settings { n_instances: n, ..settings() };
-        (0..n as u64).map(|seed| Asking::new(&cfg, seed).first()).max().unwrap()
+        (0..n as u64).map(|seed| DiscoveryRetry::new(&cfg, seed).initial_delay()).max().unwrap()
     };
     // What discovery's agent holds binds a start: any later and calls would go to endpoints that drain.
     for n in [100, 300, 510] {
@@ -459,12 +459,12 @@
 
 /// When each of so many asks in the first minute after its watch has ended under it; the next question's pause is told
 /// by `next`, with what the one before took.
-fn asked(n: u64, next: fn(&mut Asking) -> (Ns, Ns)) -> Vec<Ns> {
+fn asked(n: u64, next: fn(&mut DiscoveryRetry) -> (Ns, Ns)) -> Vec<Ns> {
     let cfg = Settings { n_instances: n as usize, ..settings() };
     let mut at = Vec::new();
     for seed in 0..n {
-        let mut asking = Asking::new(&cfg, seed);
-        let mut now = asking.first();
+        let mut asking = DiscoveryRetry::new(&cfg, seed);
+        let mut now = asking.initial_delay();
         while now < 60 * SECOND {
             at.push(now);
             let (took, pause) = next(&mut asking);
@@ -477,9 +477,9 @@
 
 #[test]
 fn senders_that_fail_together_ask_discovery_often_enough_and_make_no_storm() {
-    type Next = fn(&mut Asking) -> (Ns, Ns);
-    let refused: Next = |asking| (0, asking.failed(0));
-    let silent: Next = |asking| (2_500 * MS, asking.failed(2_500 * MS));
+    type Next = fn(&mut DiscoveryRetry) -> (Ns, Ns);
+    let refused: Next = |asking| (0, asking.record_failure(0));
+    let silent: Next = |asking| (2_500 * MS, asking.record_failure(2_500 * MS));
     // All ask once where their connections end together. What is bounded is what comes behind that: the most of any
     // second and the mean of the minute, for 510. Those that hear nothing ask once in 3 s, at first in step.
     for (what, next, most, mean) in [("refused", refused, 310, 190), ("silent", silent, 510, 155)] {
@@ -503,18 +503,21 @@
     for n in [0, 1, 3, 30, 300, 510, 1_000_000, usize::MAX] {
         let cfg = Settings { n_instances: n, ..settings() };
         for seed in 0..200 {
-            let mut asking = Asking::new(&cfg, seed);
+            let mut asking = DiscoveryRetry::new(&cfg, seed);
             for took in [0, 1, 1_000, 2_500, 3_300, 0, 3_300, 2_500, 1_000, 0].map(|ms| ms * MS) {
-                let pause = asking.failed(took);
-                assert!(pause > 0 && took + pause <= Asking::EVERY, "{n}, {seed}: {pause} after {took}");
+                let pause = asking.record_failure(took);
+                assert!(
+                    pause > 0 && took + pause <= DiscoveryRetry::MAX_INTERVAL,
+                    "{n}, {seed}: {pause} after {took}"
+                );
             }
             // Its own clock stood still meanwhile.
-            assert!(asking.failed(60 * SECOND) <= Asking::SOON);
-            asking.answered();
+            assert!(asking.record_failure(60 * SECOND) <= DiscoveryRetry::SHORT_DELAY);
+            asking.record_success();
             let few = n.clamp(1, 30) as Ns;
-            assert!(asking.failed(0) <= few.max(35) * 100 * MS);
-            asking.answered();
-            assert!(n > 3 || asking.failed(0) <= 300 * MS, "few need not wait");
+            assert!(asking.record_failure(0) <= few.max(35) * 100 * MS);
+            asking.record_success();
+            assert!(n > 3 || asking.record_failure(0) <= 300 * MS, "few need not wait");
         }
     }
 }
@@ -539,7 +542,7 @@
     for seed in 0..n as u64 {
         let cfg = Settings { hints: true, n_instances: n, ..settings() };
         let mut s = Stand { sender: Sender::new(cfg, seed), now: T0, actions: Vec::new() };
-        s.give(vec![Event::List { whole: true, entries: vec![Entry { hint, ..entry(1, 1, 0) }] }]);
+        s.give(vec![Event::List { complete: true, entries: vec![Entry { hint, ..entry(1, 1, 0) }] }]);
         s.take(message(1, 1, 1));
         s.now += 50 * MS;
         s.end(end(1, 0, 1, Outcome::TurnedAway));
@@ -561,7 +564,7 @@
     let mut got = [0; 3];
     for seed in 0..90 {
         let (mut sender, mut out) = (Sender::new(settings(), seed), Vec::new());
-        let list = Event::List { whole: true, entries: places.to_vec() };
+        let list = Event::List { complete: true, entries: places.to_vec() };
         sender.handle(T0, &[list, Event::Message(message(1, 1, 1))], &mut out);
         got[sends(&out)[0].1 as usize - 1] += 1;
     }
@@ -630,14 +633,14 @@
     }
     // All of 100 together may call 50 times a second, and try half as often.
     assert!(waits[0] <= 150 * MS && waits[5] >= SECOND && waits[6] >= 2 * SECOND, "{waits:?}");
-    assert_eq!(s.sender.avoided(s.now + 2 * SECOND).count(), 0, "it is not in doubt");
+    assert_eq!(s.sender.avoided_endpoints(s.now + 2 * SECOND).count(), 0, "it is not in doubt");
 }
 
 #[test]
 fn a_refusal_at_the_limit_leaves_an_equal_share_and_time_without_news_gives_it_back() {
     let many = Settings { n_instances: 50, ..settings() };
     let mut s = Stand::new(many, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 10.0 });
+    let full = Some(LimitReport { remaining: 0.0, limit: 10.0 });
     s.take(message(1, 1, 1));
     s.now += 50 * MS;
     s.end(AttemptEnd { report: full, ..end(1, 0, 1, Outcome::TurnedAway) });
@@ -647,7 +650,7 @@
     let all = s.pass(11 * SECOND);
     assert_eq!(sends(&plain(&all)).len(), 1);
     s.now += 50 * MS;
-    let free = Some(Report { left: 1.0, limit: 10.0 });
+    let free = Some(LimitReport { remaining: 1.0, limit: 10.0 });
     s.end(AttemptEnd { report: free, ..end(1, 1, 1, Outcome::Served) });
     s.now += 40 * SECOND;
     let burst = (10..16).map(|i| Event::Message(message(i, 1, 1))).collect();
@@ -656,9 +659,9 @@
 
 #[test]
 fn refusals_with_nothing_left_are_the_limit_s_however_many_and_however_long_the_wait() {
-    let cfg = Settings { fall_multiple: 0.1, ..settings() };
+    let cfg = Settings { overload_multiple: 0.1, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 20.0 });
+    let full = Some(LimitReport { remaining: 0.0, limit: 20.0 });
     for id in 0..6 {
         let mut sent = sends(&s.take(message(id, 1, 1)));
         while sent.is_empty() {
@@ -703,12 +706,12 @@
         let cfg = Settings { n_instances: n, hints, ..settings() };
         let mut s = Stand { sender: Sender::new(cfg, seed), now: T0, actions: Vec::new() };
         let entries = vec![Entry { hint: limit, ..entry(1, 1, 0) }];
-        s.give(vec![Event::List { whole: true, entries }]);
-        let report = (!hints).then_some(Report { left: 0.9, limit });
+        s.give(vec![Event::List { complete: true, entries }]);
+        let report = (!hints).then_some(LimitReport { remaining: 0.9, limit });
         // Three lost calls put it in doubt; then it is back, and everything is served at once.
         let mut sent = sends(&s.give((0..9).map(|i| Event::Message(message(i, 1, 1))).collect()));
         let mut attempts = std::collections::BTreeMap::<MsgId, u32>::new();
-        while s.sender.avoided(s.now + 2 * SECOND).count() == 0 {
+        while s.sender.avoided_endpoints(s.now + 2 * SECOND).count() == 0 {
             s.now += 50 * MS;
             for id in sent.drain(..).map(|x| x.0) {
                 let attempt = attempts.entry(id).or_insert(0);
@@ -740,14 +743,14 @@
 fn an_endpoint_that_is_moved_repeated_or_gone_with_calls_out_breaks_nothing() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(1, 1, 0)]);
     assert_eq!(sends(&s.take(message(1, 1, 1))), [(1, 1)]);
-    s.give(vec![Event::List { whole: false, entries: vec![entry(1, 2, 1)] }]);
+    s.give(vec![Event::List { complete: false, entries: vec![entry(1, 2, 1)] }]);
     assert!(sends(&s.take(message(2, 1, 1))).is_empty(), "it serves another destination now");
     assert_eq!(sends(&s.take(message(3, 2, 1))), [(3, 1)]);
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![] }]);
     s.pass(15 * SECOND);
     s.end(end(1, 0, 1, Outcome::Served));
     s.end(end(3, 0, 1, Outcome::Served));
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
     assert_eq!(sends(&s.take(message(4, 1, 1))), [(4, 1)], "back again");
 }
 
@@ -757,20 +760,20 @@
     s.take(message(1, 1, 1));
     s.now += 20 * MS;
     s.end(AttemptEnd { wait: 100 * SECOND, done: true, ..end(1, 0, 1, Outcome::TurnedAway) });
-    s.give(vec![Event::List { whole: true, entries: vec![] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![] }]);
     s.take(message(2, 9, 1));
     s.pass(15 * SECOND);
     s.now += 30 * SECOND;
     s.take(message(3, 9, 1));
     s.pass(15 * SECOND);
-    s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 1)] }]);
+    s.give(vec![Event::List { complete: true, entries: vec![entry(1, 1, 1)] }]);
     assert!(sends(&s.take(message(4, 1, 1))).is_empty(), "the wait is still on");
 }
 
 #[test]
 fn a_message_that_ends_as_its_unlisted_destination_is_forgotten_does_not_break_the_round() {
     let mut s = Stand::new(settings(), &[]);
-    let late = Message { left: 0, ..message(0, 99, 2) };
+    let late = Message { time_left: 0, ..message(0, 99, 2) };
     let ends = s.give(vec![Event::Resumed { message: late, past: Vec::new() }]);
     assert!(matches!(finals(&ends)[..], [Action::Refuse { id: 0, .. }]));
     s.pass(11 * SECOND);
@@ -782,13 +785,13 @@
     let mut s = Stand::new(Settings { max_open: 20, ..settings() }, &[closed]);
     // Less is left to them than to who comes now, so they are worth less.
     let found =
-        |id| Event::Resumed { message: Message { left: 9 * SECOND, ..message(id, 1, 0) }, past: vec![] };
+        |id| Event::Resumed { message: Message { time_left: 9 * SECOND, ..message(id, 1, 0) }, past: vec![] };
     s.give((0..16).map(found).collect());
     s.give((100..104).map(|id| Event::Message(message(id, 1, 0))).collect());
     let refused = finals(&plain(&s.pass(SECOND)));
     assert_eq!(refused.len(), 2, "down to nine tenths of the room");
     assert!(refused.iter().all(|a| matches!(a, Action::Refuse { id, .. } if *id >= 100)), "{refused:?}");
-    let sent = sends(&s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]));
+    let sent = sends(&s.give(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]));
     assert_eq!(
         sent.iter().filter(|&&(id, _)| id < 16).count(),
         7,
@@ -808,7 +811,10 @@
     assert_eq!(sends(&resume(2, vec![past(T0 - SECOND, false)])), [(0, 1)]);
     // Keyed with a window of 4 s.
     let within = resume(0, vec![past(T0 - 3 * SECOND, true), past(T0 - SECOND, false)]);
-    assert!(within.iter().any(|a| matches!(a, Action::Send { by, .. } if *by == T0 + SECOND)), "{within:?}");
+    assert!(
+        within.iter().any(|a| matches!(a, Action::Send { send_by, .. } if *send_by == T0 + SECOND)),
+        "{within:?}"
+    );
     assert!(sends(&resume(0, vec![past(T0 - 5 * SECOND, true)])).is_empty());
     // All eight attempts were used.
     assert!(sends(&resume(0, vec![past(T0 - SECOND, false); 8])).is_empty());
@@ -816,14 +822,14 @@
 
 #[test]
 fn resets_of_kept_connections_put_nothing_in_doubt() {
-    let many = |kept: bool| {
+    let many = |reused_connection: bool| {
         let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
         for id in 0..6 {
             if sends(&s.take(message(id, 1, 2))).is_empty() {
                 break;
             }
             s.now += 50 * MS;
-            s.end(AttemptEnd { kept, ..end(id, 0, 1, Outcome::ConnectionLost) });
+            s.end(AttemptEnd { reused_connection, ..end(id, 0, 1, Outcome::ConnectionLost) });
         }
         sends(&s.give((10..14).map(|id| Event::Message(message(id, 1, 2))).collect())).len()
     };
@@ -981,7 +987,7 @@
     for id in 10..20 {
         stand.take(message(id, 8, 1));
     }
-    let out = sends(&stand.give(vec![Event::List { whole: false, entries: vec![entry(2, 8, 0)] }]));
+    let out = sends(&stand.give(vec![Event::List { complete: false, entries: vec![entry(2, 8, 0)] }]));
     assert_eq!(out.len(), 3, "{out:?}");
 }
 
@@ -990,16 +996,16 @@
     let mut cfg = settings();
     cfg.slots = 4;
     let mut stand = Stand::new(cfg, &[entry(1, 7, 0), entry(2, 8, 0)]);
-    stand.give(vec![Event::Elsewhere { sends: true, calls: Vec::new() }]);
+    stand.give(vec![Event::OtherProcess { sends: true, calls: Vec::new() }]);
     for id in 1..=4 {
         assert!(sends(&stand.take(message(id, 7, 1))).is_empty());
     }
     assert!(sends(&stand.take(message(5, 8, 1))).is_empty());
     assert!(sends(&plain(&stand.pass(SECOND))).is_empty());
     // Three calls to one destination are its cap; the fourth slot is free for another.
-    let out = sends(&stand.give(vec![Event::Elsewhere { sends: false, calls: vec![7, 7, 7] }]));
+    let out = sends(&stand.give(vec![Event::OtherProcess { sends: false, calls: vec![7, 7, 7] }]));
     assert_eq!(out, [(5, 2)]);
-    let freed = sends(&stand.give(vec![Event::Elsewhere { sends: false, calls: vec![7] }]));
+    let freed = sends(&stand.give(vec![Event::OtherProcess { sends: false, calls: vec![7] }]));
     assert_eq!(freed.len(), 2, "{freed:?}");
     assert!(freed.iter().all(|(_, endpoint)| *endpoint == 1));
 }
@@ -1016,14 +1022,14 @@
     for id in 10..13 {
         before.end(end(id, 0, 2, Outcome::ServerError));
     }
-    let standings = before.sender.standings(before.now);
+    let route_states = before.sender.route_states(before.now);
     let mut stand = Stand::new(settings(), &entries);
-    stand.give(vec![Event::Inherited(standings)]);
+    stand.give(vec![Event::RestoredRoutes(route_states)]);
     assert!(sends(&stand.take(message(20, 7, 1))).is_empty(), "told to wait");
     assert!(sends(&stand.take(message(21, 8, 1))).is_empty(), "in doubt");
     // What a call of the other process is told later holds as well.
     let told = AttemptEnd { wait: 2 * SECOND, ..end(99, 0, 3, Outcome::TurnedAway) };
-    stand.give(vec![Event::EndedElsewhere(told)]);
+    stand.give(vec![Event::OtherProcessAttemptEnd(told)]);
     assert!(sends(&stand.take(message(22, 9, 1))).is_empty());
     let later = stand.pass(4 * SECOND);
     let at = |wanted: EndpointId| {
@@ -1041,7 +1047,7 @@
     let cfg = Settings { max_retry_after: 30 * SECOND, ..settings() };
     let mut s = Stand::new(cfg.clone(), &[entry(1, 1, 0), entry(2, 1, 0), entry(9, 9, 0)]);
     s.give((1..=2).map(|i| Event::Message(message(i, 1, 0))).collect());
-    s.take(Message { left: 25 * SECOND, ..message(3, 1, 1) });
+    s.take(Message { time_left: 25 * SECOND, ..message(3, 1, 1) });
     s.now += 100 * MS;
     let told = AttemptEnd { wait: 20 * SECOND, ..end(1, 0, 1, Outcome::TurnedAway) };
     let all = s.end(told);
@@ -1093,7 +1099,7 @@
 fn among_many_senders_two_failures_or_the_told_wait_of_one_that_is_shut_begin_the_ramp() {
     for (n_instances, many) in [(9, false), (10, true), (300, true)] {
         let stand = || Stand::new(Settings { n_instances, ..settings() }, &[entry(1, 1, 0)]);
-        let is_ramped = |s: &Stand| s.sender.standings(s.now).iter().any(|r| r.doubt && r.cold);
+        let is_ramped = |s: &Stand| s.sender.route_states(s.now).iter().any(|r| r.doubt && r.cold);
 
         let mut s = stand();
         assert_eq!(sends(&s.take(message(0, 1, 1))), [(0, 1)]);
--- a/crates/sender/src/calls.rs
+++ b/crates/sender/src/calls.rs
@@ -13,7 +13,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::Request;
 use journal::Taken;
-use policy::api::{AttemptEnd, EndpointId, Ns, Outcome, Report};
+use policy::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome};
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -272,7 +272,8 @@
         if let Some(idle) = kept.filter(|_| outcome == Outcome::ConnectionLost) {
             self.pool.distrust(endpoint, idle);
         }
-        let lost = |m| AttemptEnd { wait, kept: kept.is_some(), ..end(m, endpoint, outcome, started) };
+        let lost =
+            |m| AttemptEnd { wait, reused_connection: kept.is_some(), ..end(m, endpoint, outcome, started) };
         self.report(members.iter().map(lost).collect()).await;
     }
 
@@ -374,7 +375,7 @@
     let done = outcome == Outcome::Served;
     let took = started.elapsed().as_nanos() as Ns;
     let (id, attempt) = (m.taken.id, m.attempt);
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, kept: false }
+    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, reused_connection: false }
 }
 
 /// The protocol's table: outcome, and whether the message is over. What it does not name may have run.
@@ -495,14 +496,14 @@
 
 /// `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`. What can't be read, or makes no sense, is no report: half of one
 /// would pass for a limit that is used up, or for none.
-fn load_report(headers: &HeaderMap) -> Option<Report> {
+fn load_report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("endpoint-load-metrics")?.to_str().ok()?;
     let value = |name: &str| {
         let mut pairs = text.split([',', ' ']).filter_map(|p| p.split_once('='));
         let value = pairs.find(|(key, _)| *key == name).and_then(|(_, v)| v.trim().parse::<f64>().ok());
         value.filter(|v| v.is_finite() && *v >= 0.0)
     };
-    Some(Report { left: value("x0")?, limit: value("x1")? })
+    Some(LimitReport { remaining: value("x0")?, limit: value("x1")? })
 }
 
 #[cfg(test)]
--- a/crates/sender/src/classes.rs
+++ b/crates/sender/src/classes.rs
@@ -1,6 +1,6 @@
 //! The table of classes: those in force, and those that only messages taken on before still have.
 use policy::api::{Class, DedupScope, Effect, Ns, Settings};
-use policy::settings::Around;
+use policy::settings::HostSettings;
 
 /// A class's rules as the journal keeps them.
 pub use journal::Rules as Stored;
@@ -12,18 +12,18 @@
     let effect = EFFECTS.iter().position(|e| *e == c.effect).unwrap_or_default() as u8;
     let scope = SCOPES.iter().position(|s| *s == c.scope).unwrap_or_default() as u8;
     let (worth, late) = (c.worth, c.late_worth);
-    (effect, scope, c.aim, c.aim_stretch, c.deadline, c.window, worth, late, c.in_order, c.max_attempts)
+    (effect, scope, c.target, c.target_stretch, c.deadline, c.window, worth, late, c.in_order, c.max_attempts)
 }
 
 /// None where the journal holds what is no class.
 fn restore(stored: &Stored) -> Option<Class> {
-    let (effect, scope, aim, aim_stretch, deadline, window, worth, late_worth, in_order, max_attempts) =
+    let (effect, scope, target, target_stretch, deadline, window, worth, late_worth, in_order, max_attempts) =
         *stored;
     let effect = *EFFECTS.get(usize::from(effect))?;
     let scope = *SCOPES.get(usize::from(scope))?;
     Some(Class {
-        aim,
-        aim_stretch,
+        target,
+        target_stretch,
         deadline,
         effect,
         scope,
@@ -53,15 +53,15 @@
 pub struct Classes(Vec<Row>);
 
 impl Classes {
-    pub fn new(settings: &Settings, around: &Around) -> Classes {
+    pub fn new(settings: &Settings, host_settings: &HostSettings) -> Classes {
         let mut classes = Classes(Vec::new());
-        classes.replace(settings, around);
+        classes.replace(settings, host_settings);
         classes
     }
 
     /// The classes of these settings are in force from now on, and no others.
-    pub fn replace(&mut self, settings: &Settings, around: &Around) {
-        let new = || around.classes.iter().zip(&settings.classes);
+    pub fn replace(&mut self, settings: &Settings, host_settings: &HostSettings) {
+        let new = || host_settings.classes.iter().zip(&settings.classes);
         // Those that stay first, so that none of them loses its number to a new one.
         for row in &mut self.0 {
             row.in_force = new().any(|(name, class)| row.is(name, class));
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -4,7 +4,7 @@
 use crate::list::{List, ListSeed, Room};
 use journal::Durability;
 use policy::api::Settings;
-use policy::settings::{self, Around};
+use policy::settings::{self, HostSettings};
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -56,7 +56,7 @@
     /// Why there is none, where it could not be taken.
     pub known: Result<List, String>,
     pub settings: Settings,
-    pub around: Around,
+    pub host_settings: HostSettings,
     /// The file as it was read, without the entries of `known`.
     pub file: Value,
 }
@@ -289,8 +289,9 @@
 
 fn parse(environment: &Environment, path: String, value: Value) -> Result<Config, String> {
     let file = File::deserialize(&value).map_err(|e| format!("{path}: {e}"))?;
-    let (settings, around) = settings::read(&file.settings).map_err(|e| format!("{path}: settings: {e}"))?;
-    let classes = &around.classes;
+    let (settings, host_settings) =
+        settings::read(&file.settings).map_err(|e| format!("{path}: settings: {e}"))?;
+    let classes = &host_settings.classes;
     if classes.iter().enumerate().any(|(i, name)| name.is_empty() || classes[..i].contains(name)) {
         return Err(format!("{path}: settings: a class has no name of its own"));
     }
@@ -318,7 +319,7 @@
         durability: durability(file.durability.as_deref()).map_err(|e| format!("{path}: {e}"))?,
         known: Ok(file.known),
         settings,
-        around,
+        host_settings,
         file: value,
     })
 }
--- a/crates/sender/src/core/mod.rs
+++ b/crates/sender/src/core/mod.rs
@@ -27,7 +27,7 @@
 use places::Lists;
 use policy::api::*;
 use policy::rules::Sender;
-use policy::settings::Around;
+use policy::settings::HostSettings;
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -67,7 +67,7 @@
 pub struct Parts {
     pub machine: Rc<dyn Machine>,
     pub settings: Settings,
-    pub around: Around,
+    pub host_settings: HostSettings,
     pub seed: u64,
     pub journal: Log,
     /// The journal's, which the numbers of its messages begin with.
@@ -84,7 +84,7 @@
     machine: Rc<dyn Machine>,
     sender: Sender,
     settings: Settings,
-    around: Around,
+    host_settings: HostSettings,
     classes: Classes,
     journal: Log,
     drain: Rc<Drain>,
@@ -146,14 +146,25 @@
 
 impl Core {
     pub fn new(parts: Parts) -> Core {
-        let Parts { machine, settings, around, seed, journal, number, own, drain, client, inbox, notices } =
-            parts;
+        let Parts {
+            machine,
+            settings,
+            host_settings,
+            seed,
+            journal,
+            number,
+            own,
+            drain,
+            client,
+            inbox,
+            notices,
+        } = parts;
         let start = Instant::now();
         Core {
             sender: Sender::new(settings.clone(), seed),
-            classes: Classes::new(&settings, &around),
+            classes: Classes::new(&settings, &host_settings),
             settings,
-            around,
+            host_settings,
             next_id: first_id(number),
             journal,
             drain,
@@ -199,7 +210,7 @@
                 return;
             }
             // Without work a round lets go of what was remembered of it.
-            let rest = self.sender.forgets_at().filter(|_| !self.has_yielded);
+            let rest = self.sender.next_cleanup().filter(|_| !self.has_yielded);
             let wake = self.timer.into_iter().chain(rest).min().map(|at| self.instant(at));
             let wake = if self.next.is_empty() { wake } else { Some(Instant::now()) };
             let wake = [wake, self.wind, self.renew_at, self.next_to_forget()]
@@ -248,13 +259,13 @@
     }
 
     /// Enters a message that the module is about to be told of.
-    fn hold(&mut self, left: Ns, held: Held) -> Message {
+    fn hold(&mut self, time_left: Ns, held: Held) -> Message {
         let (id, dest, class) = (held.taken.id, held.taken.dest, held.class);
-        let tenant = position(&self.around.tenants, &held.taken.tenant).unwrap_or(0);
+        let tenant = position(&self.host_settings.tenants, &held.taken.tenant).unwrap_or(0);
         self.traces.insert(held.taken.trace.clone(), id);
         self.classes.opened(class);
         self.held.insert(id, held);
-        Message { id, class, dest, left, cost: 0, key: None, tenant }
+        Message { id, class, dest, time_left, cost: 0, key: None, tenant }
     }
 
     fn forget(&mut self, id: u64) -> Option<Held> {
@@ -270,10 +281,10 @@
     }
 
     /// New settings in place of the old: messages that are held keep theirs.
-    fn reset(&mut self, (settings, around): (Settings, Around)) -> Event {
-        self.classes.replace(&settings, &around);
-        self.figures.show(&around.classes);
-        (self.settings, self.around) = (settings, around);
+    fn reset(&mut self, (settings, host_settings): (Settings, HostSettings)) -> Event {
+        self.classes.replace(&settings, &host_settings);
+        self.figures.show(&host_settings.classes);
+        (self.settings, self.host_settings) = (settings, host_settings);
         Event::Settings(self.module_settings())
     }
 
@@ -284,7 +295,7 @@
         Gauges {
             pending: self.held.len() + self.noticing.len(),
             members,
-            unavailable: closed + self.sender.avoided(now).filter(open).count(),
+            unavailable: closed + self.sender.avoided_endpoints(now).filter(open).count(),
             journal: self.journal.figures,
             journal_bytes: self.journal.size(),
             links: self.client.pool.counts(),
@@ -315,7 +326,7 @@
             for b in stands {
                 let ms = b.oldest / MS;
                 let (served, limit, share) = (b.served as f32, b.limit as f32, b.share as f32);
-                let (dest, held, out, cap, gate) = (b.dest, b.held, b.in_flight, b.cap, b.gate);
+                let (dest, held, out, cap, gate) = (b.dest, b.held, b.in_flight, b.cap, b.hold_reason);
                 tracing::info!(dest, held, ms, out, cap, ?gate, served, limit, share, "destination stands");
             }
         }
--- a/crates/sender/src/core/passing.rs
+++ b/crates/sender/src/core/passing.rs
@@ -20,7 +20,7 @@
         if let Ok(Some(Input::List(list))) = first {
             self.take_list(list, &mut events).await;
         }
-        events.push(Event::Elsewhere { sends, calls: Vec::new() });
+        events.push(Event::OtherProcess { sends, calls: Vec::new() });
         let count = left.messages.len();
         let written = self.take_over(left, &mut events).await;
         if count > 0 {
@@ -112,12 +112,12 @@
     /// What the next process is to know: routes, the list's version, and what takes nothing new.
     fn inheritance(&self) -> Inheritance {
         let endpoints = self.client.pool.endpoints.borrow();
-        let named = |s: Standing| {
+        let named = |s: RouteState| {
             let known = s.endpoint.and_then(|e| endpoints.get(e));
             // Figures that are no numbers can't be written; none of these is one.
             Some((known.map(|known| known.name.as_str().to_string()), serde_json::to_value(s).ok()?))
         };
-        let standings = self.sender.standings(self.clock(Instant::now())).into_iter();
+        let standings = self.sender.route_states(self.clock(Instant::now())).into_iter();
         let standings = standings.filter_map(named).collect();
         let closed = endpoints.closed().map(str::to_string).collect();
         Inheritance { standings, generation: self.lists.generation, closed }
@@ -225,18 +225,18 @@
         }
         let named = |(name, standing): (Option<String>, Value)| {
             let endpoint = name.and_then(|name| self.client.pool.endpoints.borrow().id_of(&name));
-            Some(Standing { endpoint, ..serde_json::from_value(standing).ok()? })
+            Some(RouteState { endpoint, ..serde_json::from_value(standing).ok()? })
         };
-        events.push(Event::Inherited(standings.into_iter().filter_map(named).collect()));
+        events.push(Event::RestoredRoutes(standings.into_iter().filter_map(named).collect()));
     }
 
     pub(super) fn ended_elsewhere(&self, r: &Release) -> Option<Event> {
         let endpoint = self.client.pool.endpoints.borrow().id_of(&r.endpoint)?;
         let outcome = serde_json::from_value(Value::from(r.outcome.as_str())).ok()?;
         let (id, attempt, took, wait) = (r.id, r.attempt, r.took, r.wait);
-        let (done, report, kept) = (false, None, false);
-        let end = AttemptEnd { id, attempt, endpoint, outcome, took, done, wait, report, kept };
-        Some(Event::EndedElsewhere(end))
+        let (done, report, reused_connection) = (false, None, false);
+        let end = AttemptEnd { id, attempt, endpoint, outcome, took, done, wait, report, reused_connection };
+        Some(Event::OtherProcessAttemptEnd(end))
     }
 }
 
--- a/crates/sender/src/core/places.rs
+++ b/crates/sender/src/core/places.rs
@@ -35,8 +35,8 @@
     /// Goes on with the lists that have come, as far as `work` lasts.
     pub(super) fn follow_lists(&mut self, work: &mut usize, events: &mut Vec<Event>) {
         let now = Instant::now();
-        let (settings, around) = (&self.settings, &self.around);
-        let terms = |list: &List, instance: &Instance| said(settings, around, list, instance);
+        let (settings, host_settings) = (&self.settings, &self.host_settings);
+        let terms = |list: &List, instance: &Instance| said(settings, host_settings, list, instance);
         let mut changes = Vec::new();
         while *work > 0 {
             let mut endpoints = self.client.pool.endpoints.borrow_mut();
@@ -54,7 +54,7 @@
         changes.iter().for_each(|change| self.client.pool.follow(change));
         if !changes.is_empty() {
             let entries = changes.iter().map(|change: &Change| change.entry).collect();
-            events.push(Event::List { whole: false, entries });
+            events.push(Event::List { complete: false, entries });
         }
     }
 
@@ -66,7 +66,7 @@
         let entries: Vec<Entry> = names.iter().filter_map(close).collect();
         drop(endpoints);
         entries.iter().for_each(|entry| pool.withdraw(entry.endpoint));
-        Event::List { whole: false, entries }
+        Event::List { complete: false, entries }
     }
 
     /// When an endpoint may next be forgotten; never while a list is taken, which refers to them, or once all is
@@ -90,9 +90,10 @@
     }
 }
 
-fn said(settings: &Settings, around: &Around, list: &List, instance: &Instance) -> Said {
+fn said(settings: &Settings, host_settings: &HostSettings, list: &List, instance: &Instance) -> Said {
     let place = |names: &[String], name| position(names, name).map_or(UNKNOWN, |n| n as u16);
-    let (kind, zone) = (place(&around.kinds, list.kind(instance)), place(&around.zones, list.zone(instance)));
+    let (kind, zone) =
+        (place(&host_settings.kinds, list.kind(instance)), place(&host_settings.zones, list.zone(instance)));
     Said {
         address: instance.address.clone(),
         dest: instance.dest,
--- a/crates/sender/src/core/round.rs
+++ b/crates/sender/src/core/round.rs
@@ -101,7 +101,7 @@
                 Input::Elsewhere(Elsewhere { sends, calls, held, bytes }) => {
                     self.held_elsewhere = held;
                     self.journal.set_others(bytes);
-                    round.events.push(Event::Elsewhere { sends, calls });
+                    round.events.push(Event::OtherProcess { sends, calls });
                 }
                 Input::EndedElsewhere(releases) => {
                     let ends = releases.iter().filter_map(|r| self.ended_elsewhere(r));
@@ -141,8 +141,8 @@
         let mut refused = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, limit, by } => {
-                    self.begin(round.at, (id, endpoint), limit, by, &mut decided)
+                Action::Send { id, endpoint, timeout, send_by } => {
+                    self.begin(round.at, (id, endpoint), timeout, send_by, &mut decided)
                 }
                 Action::Refuse { id, backoff, late } => {
                     let backoff = (backoff > 0).then_some((backoff / MS) as u64);
@@ -303,7 +303,7 @@
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd, round: &mut Round) {
-        let (ms, wait, kept) = (end.took / MS, end.wait / MS, end.kept);
+        let (ms, wait, kept) = (end.took / MS, end.wait / MS, end.reused_connection);
         let (id, attempt, endpoint, outcome) = (end.id, end.attempt, end.endpoint, end.outcome);
         tracing::debug!(id, attempt, endpoint, ?outcome, ms, wait, kept, "attempt ended");
         self.ended(&end, &mut round.records);
--- a/crates/sender/src/core/tests/mod.rs
+++ b/crates/sender/src/core/tests/mod.rs
@@ -89,7 +89,7 @@
         "Safety": {"StartCapacity": 0.3, "ColdNs": 1_000_000_000, "FallMultiple": 2,
             "OverloadForNs": 1_000_000_000},
         "Services": [class]});
-    let (settings, around) = policy::settings::read(&value).unwrap();
+    let (settings, host_settings) = policy::settings::read(&value).unwrap();
     let known = serde_json::from_value(json!({"generation": 1, "reset": true, "instances": [{
         "instanceId": "e-1", "hostPort": "127.0.0.1:9", "zone": "z", "machineType": "plain", "cell": 7,
         "lifecycle": "Terminating", "weight": 1.0, "startedAtMs": 0}]}));
@@ -112,7 +112,7 @@
     let parts = Parts {
         machine,
         settings,
-        around,
+        host_settings,
         seed,
         journal,
         number,
--- a/crates/sender/src/deadline.rs
+++ b/crates/sender/src/deadline.rs
@@ -310,8 +310,8 @@
     impl World {
         fn new(seed: u64) -> World {
             let class = |effect, deadline: Ns| Class {
-                aim: deadline / 6,
-                aim_stretch: 0.0,
+                target: deadline / 6,
+                target_stretch: 0.0,
                 deadline,
                 effect,
                 scope: DedupScope::All,
@@ -333,9 +333,9 @@
                 idle_close: 10 * SECOND,
                 dial_timeout: SECOND,
                 start_capacity: 0.2,
-                cold: 10 * SECOND,
-                fall_multiple: 2.0,
-                overload_for: 3 * SECOND,
+                warm_up: 10 * SECOND,
+                overload_multiple: 2.0,
+                overload_window: 3 * SECOND,
                 max_retry_after: 2 * SECOND,
                 ..Settings::default()
             };
@@ -379,7 +379,7 @@
                 condition: Condition::Ready,
                 hint: 0.0,
             };
-            self.round(vec![Event::List { whole: true, entries: vec![entry(1), entry(2)] }]);
+            self.round(vec![Event::List { complete: true, entries: vec![entry(1), entry(2)] }]);
         }
 
         fn pass(&mut self, time: Duration) {
@@ -412,8 +412,8 @@
                 Truth { class, end: end.instant(), ends: 0, told: u64::MAX, may_have_run: false },
             );
             self.held.insert(id, (end, 0, None));
-            let left = end.left(self.now).as_nanos() as Ns;
-            let message = Message { id, class, dest: 1, left, cost: 0, key: None, tenant: 0 };
+            let time_left = end.left(self.now).as_nanos() as Ns;
+            let message = Message { id, class, dest: 1, time_left, cost: 0, key: None, tenant: 0 };
             self.round(vec![Event::Message(message)]);
         }
 
@@ -436,10 +436,10 @@
             self.sender.handle(self.clock(), &events, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { id, endpoint, limit, by } => {
-                        let by = self.start + Duration::from_nanos((by - START).max(0) as u64);
+                    Action::Send { id, endpoint, timeout, send_by } => {
+                        let send_by = self.start + Duration::from_nanos((send_by - START).max(0) as u64);
                         let (end, attempts, told) = self.held.get_mut(&id).unwrap();
-                        let time = Allowance::new(*end, limit, *told, by);
+                        let time = Allowance::new(*end, timeout, *told, send_by);
                         let attempt = *attempts;
                         (*attempts, *told) = (attempt + 1, time.wait.or(*told));
                         let (at, wait) = (self.own.ms(self.now), time.wait.map(|w| w.as_millis() as u64));
@@ -517,8 +517,18 @@
                 } else {
                     0
                 };
-                let (report, kept) = (None, false);
-                let end = AttemptEnd { id, attempt, endpoint, outcome, took, done, wait, report, kept };
+                let (report, reused_connection) = (None, false);
+                let end = AttemptEnd {
+                    id,
+                    attempt,
+                    endpoint,
+                    outcome,
+                    took,
+                    done,
+                    wait,
+                    report,
+                    reused_connection,
+                };
                 self.round(vec![Event::AttemptEnd(end)]);
             }
         }
@@ -547,8 +557,8 @@
                 let id = live.taken.id;
                 let class = live.taken.class.parse::<usize>().unwrap();
                 let most = self.settings.classes[class].deadline;
-                let left = left(live.taken.end, own).min(most);
-                assert!(left <= most);
+                let time_left = left(live.taken.end, own).min(most);
+                assert!(time_left <= most);
                 let past = live.attempts.iter().map(|a| PastAttempt {
                     endpoint: a.endpoint.parse().ok(),
                     sent: self.clock() - super::left(own, a.at).max(0),
@@ -556,13 +566,13 @@
                 });
                 let past: Vec<PastAttempt> = past.collect();
                 let told = live.attempts.iter().filter_map(|a| a.wait).min().map(ms);
-                let end = Deadline::at(self.now + Duration::from_nanos(left.max(0) as u64));
+                let end = Deadline::at(self.now + Duration::from_nanos(time_left.max(0) as u64));
                 self.held.insert(id, (end, past.len() as u32, told));
                 if self.truth[&id].end <= self.now {
                     // What nobody was there to end in time is not late by anyone's doing.
                     self.truth.get_mut(&id).unwrap().end = self.now;
                 }
-                let message = Message { id, class, dest: 1, left, cost: 0, key: None, tenant: 0 };
+                let message = Message { id, class, dest: 1, time_left, cost: 0, key: None, tenant: 0 };
                 self.round(vec![Event::Resumed { message, past }]);
             }
         }
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use machine::Machine;
 use policy::api::Ns;
-use policy::rules::Asking;
+use policy::rules::DiscoveryRetry;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,9 @@
 /// and a watch begun in that time may never be answered, though discovery is back the next moment.
 const WAIT: Duration = Duration::from_millis(2_500);
 const GRACE: Duration = Duration::from_millis(800);
-const _: () = assert!((WAIT.as_nanos() + GRACE.as_nanos()) as Ns <= Asking::EVERY - Asking::SOON);
+const _: () = assert!(
+    (WAIT.as_nanos() + GRACE.as_nanos()) as Ns <= DiscoveryRetry::MAX_INTERVAL - DiscoveryRetry::SHORT_DELAY
+);
 /// Any call waits so long for its answer: one that was given up is still work for discovery, and its next one more.
 const PATIENCE: Duration = Duration::from_millis(2_500);
 /// What is left of the 5 s for a connection to discovery.
@@ -141,7 +143,7 @@
     mut place: watch::Receiver<SocketAddr>,
     core: mpsc::Sender<Input>,
     mut known: Option<u64>,
-    mut asking: Asking,
+    mut asking: DiscoveryRetry,
     taking: Taking,
 ) {
     let mut connection = None;
@@ -152,11 +154,12 @@
     let mut hurried = false;
     // Ends once the list before is taken.
     let (_, mut before) = oneshot::channel::<()>();
-    sleep(nanos(asking.first())).await;
+    sleep(nanos(asking.initial_delay())).await;
     loop {
         let at = *place.borrow_and_update();
         // Changes are answered to all at once: a little less each time, or all would go on in step.
-        let wait = if watches && known.is_some() { WAIT - nanos(asking.first()) } else { Duration::ZERO };
+        let wait =
+            if watches && known.is_some() { WAIT - nanos(asking.initial_delay()) } else { Duration::ZERO };
         let path = known.map_or("/v1/servers".to_string(), |generation| {
             format!("/v1/servers?index={generation}&wait={}", wait.as_millis())
         });
@@ -186,7 +189,7 @@
                 }
                 // Who answers at once and loses each watch is no better than who fails.
                 if wait > Duration::ZERO {
-                    asking.answered();
+                    asking.record_success();
                     hurried = false;
                 }
                 known = Some(list.generation);
@@ -220,7 +223,7 @@
             let hurry = matches!(error, Failure::Broken(_) | Failure::Older(_));
             hurried = hurry && !hurried;
             let took = begun.elapsed().as_nanos() as Ns;
-            let pause = nanos(if hurried { asking.first() } else { asking.failed(took) });
+            let pause = nanos(if hurried { asking.initial_delay() } else { asking.record_failure(took) });
             tokio::select! {
                 Ok(()) = place.changed() => (connection, known) = (None, None),
                 () = sleep(pause) => {}
--- a/crates/sender/src/hollow.rs
+++ b/crates/sender/src/hollow.rs
@@ -13,7 +13,7 @@
 use crate::{connections, discovery, figures};
 use machine::Machine;
 use membership::{Place, Roster, Standing, View};
-use policy::rules::Asking;
+use policy::rules::DiscoveryRetry;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
         spawn_local(stand_in(inbox, told.clone()));
         let drain = Rc::new(Drain::new(Instant::now()));
         let (discovery, place) = watch::channel(config.discovery);
-        let asking = Asking::new(&config.settings, config.seed);
+        let asking = DiscoveryRetry::new(&config.settings, config.seed);
         let known = std::mem::replace(&mut config.known, Ok(Default::default()))?.version();
         let figures = Rc::new(figures::Figures::default());
         let taking = discovery::Taking { room: config.room(), figures: figures.clone() };
@@ -111,7 +111,7 @@
 ) -> Reload {
     let (settings, budget) = (&config.settings, Budget::new(config.limits.memory_mb));
     let pool = connections::Pool::new(machine, settings.dial_timeout, settings.idle_close, 0);
-    let terms = Terms::new(settings, config.around);
+    let terms = Terms::new(settings, config.host_settings);
     let server = Server::new(core.clone(), terms, budget, drain, figures.clone(), (0, 0));
     let (pool, server) = (Rc::new(pool), Rc::new(server));
     Reload { environment, in_force: config.file, discovery, core, pool, server, figures }
--- a/crates/sender/src/inbox.rs
+++ b/crates/sender/src/inbox.rs
@@ -6,7 +6,7 @@
 use crate::list::List;
 use journal::{Ending, Inheritance, Left, Release, Taken};
 use policy::api::{AttemptEnd, DestId, Settings};
-use policy::settings::Around;
+use policy::settings::HostSettings;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -61,7 +61,7 @@
     /// The machine goes for good, or stays.
     Evacuate(bool),
     /// The file of the configuration was read again.
-    Settings(Box<(Settings, Around)>),
+    Settings(Box<(Settings, HostSettings)>),
     /// No client can come any more: end once nothing is left to do, and start nothing new after this time.
     Wind(Instant),
 }
--- a/crates/sender/src/reload.rs
+++ b/crates/sender/src/reload.rs
@@ -39,12 +39,12 @@
     }
 
     async fn swap(&mut self, config: config::Config) {
-        let (address, classes) = (config.discovery, config.around.classes.join(" "));
-        let (settings, around) = (config.settings, config.around);
+        let (address, classes) = (config.discovery, config.host_settings.classes.join(" "));
+        let (settings, host_settings) = (config.settings, config.host_settings);
         self.pool.set_times(settings.dial_timeout, settings.idle_close);
-        let terms = Terms::new(&settings, around.clone());
+        let terms = Terms::new(&settings, host_settings.clone());
         // The core first: no message may reach it with a class that it has not heard of.
-        if self.core.send(Input::Settings(Box::new((settings, around)))).await.is_err() {
+        if self.core.send(Input::Settings(Box::new((settings, host_settings)))).await.is_err() {
             return;
         }
         self.server.terms.replace(terms);
--- a/crates/sender/src/server.rs
+++ b/crates/sender/src/server.rs
@@ -18,7 +18,7 @@
 use journal::Taken;
 use machine::{Listener, Stream};
 use policy::api::{self, Effect, Settings};
-use policy::settings::Around;
+use policy::settings::HostSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -53,15 +53,15 @@
 
 /// What the settings in force say of messages.
 pub struct Terms {
-    around: Around,
+    host_settings: HostSettings,
     classes: Vec<Class>,
 }
 
 impl Terms {
-    pub fn new(settings: &Settings, around: Around) -> Rc<Terms> {
+    pub fn new(settings: &Settings, host_settings: HostSettings) -> Rc<Terms> {
         let deadline = |c: &api::Class| Duration::from_nanos(c.deadline.max(0) as u64);
         let class = |c: &api::Class| Class { effect: c.effect, deadline: deadline(c) };
-        Rc::new(Terms { around, classes: settings.classes.iter().map(class).collect() })
+        Rc::new(Terms { host_settings, classes: settings.classes.iter().map(class).collect() })
     }
 }
 
@@ -205,7 +205,7 @@
     /// The class in a path, if it is in force.
     fn class(&self, path: &str) -> Option<String> {
         let terms = self.terms.borrow();
-        terms.class(path).map(|class| terms.around.classes[class].clone())
+        terms.class(path).map(|class| terms.host_settings.classes[class].clone())
     }
 
     /// Counts a message that the door ends; what is malformed is no message.
@@ -356,7 +356,7 @@
 impl Terms {
     fn class(&self, path: &str) -> Option<usize> {
         let named = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        self.around.classes.iter().position(|c| c == named && !c.is_empty())
+        self.host_settings.classes.iter().position(|c| c == named && !c.is_empty())
     }
 
     /// What a message's headers say, with its body still to come.
@@ -369,15 +369,18 @@
         let text = |name: &str| {
             headers.get(name).map(|v| v.to_str().map(str::trim).ok().filter(|t| t.len() <= MAX_NAME))
         };
-        let name = &self.around.classes[class];
+        let name = &self.host_settings.classes[class];
         if !matches!(text("x-qos"), None | Some(Some(""))) && text("x-qos") != Some(Some(name.as_str())) {
             return Err("X-Qos is not the class in the path");
         }
         let trace = text("x-trace-id").flatten().filter(|t| !t.is_empty());
         let trace = trace.ok_or("X-Trace-Id is missing or malformed")?;
         let tenant = match text("x-customer") {
-            None if self.around.tenants.is_empty() => "",
-            Some(Some(t)) if self.around.tenants.is_empty() || self.around.tenants.iter().any(|n| n == t) => {
+            None if self.host_settings.tenants.is_empty() => "",
+            Some(Some(t))
+                if self.host_settings.tenants.is_empty()
+                    || self.host_settings.tenants.iter().any(|n| n == t) =>
+            {
                 t
             }
             _ => return Err("X-Customer is missing or unknown"),
--- a/crates/sender/src/start.rs
+++ b/crates/sender/src/start.rs
@@ -11,7 +11,7 @@
 use crate::server::{Server, Terms};
 use crate::*;
 use journal::{Journal, Left};
-use policy::rules::Asking;
+use policy::rules::DiscoveryRetry;
 use std::collections::HashSet;
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
@@ -135,7 +135,7 @@
         let (notices, noticing) = mpsc::unbounded_channel();
         let settings = config.settings.clone();
         let figures = Rc::new(figures::Figures::default());
-        figures.show(&config.around.classes);
+        figures.show(&config.host_settings.classes);
         let pool =
             connections::Pool::new(machine.clone(), settings.dial_timeout, settings.idle_close, share.calls);
         let pool = Rc::new(pool);
@@ -147,7 +147,7 @@
             drain.inherit(evacuation);
         }
         let (discovery, place) = watch::channel(config.discovery);
-        let asking = Asking::new(&settings, config.seed);
+        let asking = DiscoveryRetry::new(&settings, config.seed);
         // Discovery is then asked for a whole one.
         let known = std::mem::replace(&mut config.known, Ok(List::default())).unwrap_or_else(|reason| {
             figures::bump(&figures.list_errors);
@@ -160,11 +160,11 @@
         let (at, held) = (place.clone(), known.version());
         spawn_local(discovery::follow(watching, at, core.clone(), held, asking, taking));
         spawn_local(notices::run(telling, place, noticing, core.clone()));
-        let terms = Terms::new(&settings, config.around.clone());
+        let terms = Terms::new(&settings, config.host_settings.clone());
         let parts = Parts {
             machine: machine.clone(),
             settings,
-            around: config.around.clone(),
+            host_settings: config.host_settings.clone(),
             seed: config.seed,
             journal,
             number: folder.own,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,7 +1,7 @@
 //! Wire lines to `api` events for each sender, and its actions back to lines.
 use policy::api::*;
 use policy::rules::Sender;
-use policy::settings::{self, Around};
+use policy::settings::{self, HostSettings};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 struct Instance {
     sender: Sender,
-    around: Around,
+    host_settings: HostSettings,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
@@ -134,10 +134,10 @@
                     text.find("Conf=").map(|at| &text[at + 5..]).ok_or("LAUNCH field Conf is missing")?;
                 let conf =
                     serde_json::from_str(conf).map_err(|e| format!("LAUNCH field Conf: not JSON: {e}"))?;
-                let (settings, around) =
+                let (settings, host_settings) =
                     settings::read(&conf).map_err(|e| format!("LAUNCH field Conf: {e}"))?;
                 let sender = Sender::new(settings, seed);
-                self.instances.insert(number, Instance::new(sender, around));
+                self.instances.insert(number, Instance::new(sender, host_settings));
             }
             "CRASH_NOW" => {
                 let number = self.current.ok_or("CRASH_NOW without an INSTANCE line")?;
@@ -177,10 +177,10 @@
 }
 
 impl Instance {
-    fn new(sender: Sender, around: Around) -> Instance {
+    fn new(sender: Sender, host_settings: HostSettings) -> Instance {
         Instance {
             sender,
-            around,
+            host_settings,
             events: Vec::new(),
             endpoints: HashMap::new(),
             endpoint_names: Vec::new(),
@@ -194,7 +194,7 @@
     fn event(&mut self, f: &Fields, tables: &HashMap<u64, Rc<Vec<WireEntry>>>) -> Result<(), String> {
         match f.verb {
             "ANNOUNCE" => {
-                let whole = match f.text("Scope")? {
+                let complete = match f.text("Scope")? {
                     "Partial" => false,
                     "Complete" | "Persisted" => true,
                     "Error" => return Ok(()),
@@ -204,7 +204,7 @@
                 let table = tables.get(&slot).ok_or(format!("ANNOUNCE field Slot names no TABLE: {slot}"))?;
                 let entries =
                     table.iter().map(|e| Entry { endpoint: self.endpoint(&e.name), ..e.entry }).collect();
-                self.events.push(Event::List { whole, entries });
+                self.events.push(Event::List { complete, entries });
             }
             "WORK_ITEM" => {
                 let name = f.text("Ref")?;
@@ -212,7 +212,7 @@
                     id: self.next_id,
                     class: f.parse("Cls")?,
                     dest: f.parse("ToExchange")?,
-                    left: f.parse("TimeLeftNs")?,
+                    time_left: f.parse("TimeLeftNs")?,
                     cost: f.parse_or("CostNs", 0)?,
                     key: if f.find("PartitionKey").is_some() { Some(f.parse("PartitionKey")?) } else { None },
                     tenant: f.parse_or("UserGroup", 0)?,
@@ -244,7 +244,7 @@
                     done: f.parse_or::<u8>("DoneFlag", 0)? != 0,
                     wait: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
                     report: self.report(f)?,
-                    kept: false,
+                    reused_connection: false,
                 };
                 self.events.push(Event::AttemptEnd(end));
                 if let Some(held) = self.held.get_mut(&id) {
@@ -269,7 +269,7 @@
         id
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<Report>, String> {
+    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, String> {
         let Some(text) = f.find("Metrics") else {
             return Ok(None);
         };
@@ -279,9 +279,11 @@
             row.push(value.map_err(|_| format!("{} field Metrics is malformed: {}", f.verb, shorten(text)))?);
         }
         let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
-        Ok(match (at(self.around.x0), at(self.around.x1)) {
+        Ok(match (at(self.host_settings.x0), at(self.host_settings.x1)) {
             (None, None) => None,
-            (left, limit) => Some(Report { left: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
+            (remaining, limit) => {
+                Some(LimitReport { remaining: remaining.unwrap_or(0.0), limit: limit.unwrap_or(0.0) })
+            }
         })
     }
 
@@ -306,9 +308,9 @@
         let place = |id: EndpointId| self.endpoint_names[id as usize].as_str();
         // Writing to a String cannot fail; a message without a name is over, and nothing is owed for it.
         let _ = match action {
-            Action::Send { id, endpoint, limit, .. } => {
+            Action::Send { id, endpoint, timeout, .. } => {
                 let Some(n) = name(id) else { return };
-                let _ = writeln!(reply, "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={limit}", place(endpoint));
+                let _ = writeln!(reply, "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={timeout}", place(endpoint));
                 if let Some(held) = self.held.get_mut(&id) {
                     held.out += 1;
                 }
--- a/crates/trial/src/stage.rs
+++ b/crates/trial/src/stage.rs
@@ -405,8 +405,8 @@
                 "Limits": {"MaxOpen": s.max_open, "MaxAttempts": 8, "Cancel": true, "MayDuplicate": true,
                     "IdleCloseNs": s.idle_close, "DialTimeoutNs": s.dial_timeout,
                     "MaxRetryAfterNs": s.max_retry_after},
-                "Safety": {"StartCapacity": s.start_capacity, "ColdNs": s.cold, "FallMultiple": s.fall_multiple,
-                    "OverloadForNs": s.overload_for},
+                "Safety": {"StartCapacity": s.start_capacity, "ColdNs": s.warm_up, "FallMultiple": s.overload_multiple,
+                    "OverloadForNs": s.overload_window},
                 "Services": self.plan.classes.iter().map(class).collect::<Vec<_>>()}})
     }
 }
--- a/crates/world/src/baselines.rs
+++ b/crates/world/src/baselines.rs
@@ -158,7 +158,7 @@
     }
 
     fn hold(&mut self, now: Ns, message: Message, attempts: u32, may_have_run: bool) {
-        let end = now + message.left;
+        let end = now + message.time_left;
         let (out, not_before, level) = (false, now, 0);
         self.held.insert(message.id, Held { message, end, attempts, out, may_have_run, not_before, level });
         self.due.insert((now, message.id));
@@ -173,7 +173,7 @@
         held.may_have_run |= !e.outcome.never_ran();
         let dest = held.message.dest;
         *self.out_to.entry(dest).or_insert(1) -= 1;
-        let aim = self.settings.classes[held.message.class].aim;
+        let aim = self.settings.classes[held.message.class].target;
         self.limits.get_mut(&dest).into_iter().for_each(|limit| limit.ended(e, held.level, aim, top));
         if e.wait > 0 {
             let until = self.waits.entry(dest).or_insert(now);
@@ -263,8 +263,8 @@
             self.places.get_mut(&endpoint).into_iter().for_each(|p| p.out += 1);
             let class = &self.settings.classes[held.message.class];
             let again = class.effect != Effect::Unsafe;
-            let (limit, by) = (if again { 2 * class.aim } else { 0 }, held.end);
-            out.push(Action::Send { id, endpoint, limit, by });
+            let (timeout, send_by) = (if again { 2 * class.target } else { 0 }, held.end);
+            out.push(Action::Send { id, endpoint, timeout, send_by });
             if matches!(self.limits[&dest], Limit::Truth) {
                 // What it takes shows only once the call is there.
                 full.insert(dest);
@@ -277,8 +277,8 @@
     fn handle(&mut self, now: Ns, events: &[Event], truth: &dyn Truth, out: &mut Vec<Action>) {
         for event in events {
             match event {
-                Event::List { whole, entries } => {
-                    if *whole {
+                Event::List { complete, entries } => {
+                    if *complete {
                         self.places.values_mut().for_each(|p| p.usable = false);
                     }
                     for entry in entries {
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -450,9 +450,9 @@
         self.tell(node, vec![Event::Message(message)]);
     }
 
-    fn message(&self, id: MsgId, left: Ns) -> Message {
+    fn message(&self, id: MsgId, time_left: Ns) -> Message {
         let msg = &self.messages[id as usize];
-        Message { id, class: msg.class, dest: msg.dest, left, cost: 0, key: None, tenant: 0 }
+        Message { id, class: msg.class, dest: msg.dest, time_left, cost: 0, key: None, tenant: 0 }
     }
 
     /// A client that was refused may come again, once.
@@ -491,7 +491,9 @@
 
     fn act(&mut self, node: usize, action: Action) {
         match action {
-            Action::Send { id, endpoint, limit, by } => self.send(node, id, endpoint, limit, by - START),
+            Action::Send { id, endpoint, timeout, send_by } => {
+                self.send(node, id, endpoint, timeout, send_by - START)
+            }
             Action::Refuse { id, backoff, .. } => self.ends(node, id, action, Some(backoff)),
             Action::Fail { id, .. } => self.ends(node, id, action, None),
             Action::Cancel { id, attempt } => {
@@ -866,7 +868,8 @@
         let took = self.now - sent;
         let tells = matches!(outcome, Outcome::Served | Outcome::TurnedAway);
         let report = self.partners[place.partner].report(self.now, place.desk).filter(|_| tells);
-        let end = AttemptEnd { id, attempt, endpoint, outcome, took, done, wait, report, kept: false };
+        let end =
+            AttemptEnd { id, attempt, endpoint, outcome, took, done, wait, report, reused_connection: false };
         self.tell(node, vec![Event::AttemptEnd(end)]);
     }
 
@@ -881,8 +884,8 @@
             return;
         }
         let settings = &self.plan.settings[node].classes[class];
-        let worth = settings.worth_with(end - now, 0, false);
-        self.account.delivered(class, born, now, worth, now - born <= settings.aim);
+        let worth = settings.worth_with_time_left(end - now, 0, false);
+        self.account.delivered(class, born, now, worth, now - born <= settings.target);
     }
 
     // What happens.
@@ -1012,7 +1015,7 @@
         let closed = condition != Condition::Ready;
         self.nodes[node].closed[place] = closed.then_some(self.now);
         let entry = self.entry(node, place);
-        self.tell(node, vec![Event::List { whole: false, entries: vec![entry] }]);
+        self.tell(node, vec![Event::List { complete: false, entries: vec![entry] }]);
     }
 
     fn entry(&self, node: usize, place: usize) -> Entry {
@@ -1074,11 +1077,11 @@
     /// A new process takes over at once and is told what the old one knew; what that had out is lost with it.
     fn upgrade(&mut self, node: usize) {
         let Some(old) = &self.nodes[node].decider else { return };
-        let standings = old.standings(START + self.now);
+        let route_states = old.route_states(START + self.now);
         let (knows, heard) = (self.nodes[node].knows.clone(), self.nodes[node].heard.clone());
         self.kill(node, 0);
         (self.nodes[node].knows, self.nodes[node].heard) = (knows, heard);
-        self.start_with(node, standings);
+        self.start_with(node, route_states);
     }
 
     /// A process starts, with the list and with what the one before had taken on.
@@ -1089,7 +1092,7 @@
         }
     }
 
-    fn start_with(&mut self, node: usize, standings: Vec<Standing>) {
+    fn start_with(&mut self, node: usize, route_states: Vec<RouteState>) {
         self.starts += 1;
         let seed = self.plan.seed ^ self.starts.wrapping_mul(0xd134_2543_de82_ef95);
         let decider = (self.make)(&self.plan.settings[node], seed);
@@ -1100,9 +1103,9 @@
         // PROTOCOL: a restart ends the wait.
         at.wait_until.iter_mut().for_each(|w| *w = Ns::MIN);
         let entries = (0..self.plan.endpoints.len()).map(|place| self.entry(node, place)).collect();
-        let mut events = vec![Event::List { whole: true, entries }];
-        if !standings.is_empty() {
-            events.push(Event::Inherited(standings));
+        let mut events = vec![Event::List { complete: true, entries }];
+        if !route_states.is_empty() {
+            events.push(Event::RestoredRoutes(route_states));
         }
         let held: Vec<MsgId> = self.nodes[node].held.iter().copied().collect();
         for id in held {
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod referee;
 pub mod scenario;
 
-use policy::api::{Action, DestId, EndpointId, Event, Ns, Settings, Standing};
+use policy::api::{Action, DestId, EndpointId, Event, Ns, RouteState, Settings};
 use policy::rules::Sender;
 
 /// Decides for one sender. `truth` is what nobody knows in service; only a yardstick may look at it.
@@ -32,7 +32,7 @@
     fn handle(&mut self, now: Ns, events: &[Event], truth: &dyn Truth, out: &mut Vec<Action>);
 
     /// What the next process of its sender is told where one takes over from the other.
-    fn standings(&self, _now: Ns) -> Vec<Standing> {
+    fn route_states(&self, _now: Ns) -> Vec<RouteState> {
         Vec::new()
     }
 }
@@ -50,8 +50,8 @@
         Sender::handle(self, now, events, out);
     }
 
-    fn standings(&self, now: Ns) -> Vec<Standing> {
-        Sender::standings(self, now)
+    fn route_states(&self, now: Ns) -> Vec<RouteState> {
+        Sender::route_states(self, now)
     }
 }
 
--- a/crates/world/src/partner.rs
+++ b/crates/world/src/partner.rs
@@ -1,7 +1,7 @@
 //! A partner system: what it does with a call, by its limit, its queue and its state. No I/O and no clock, so the same
 //! partner answers in simulated time and on real sockets.
 use crate::plan::{Allows, PartnerPlan, Safety};
-use policy::api::{Ns, Report, MS, SECOND};
+use policy::api::{LimitReport, Ns, MS, SECOND};
 use rand::RngExt;
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
@@ -322,14 +322,14 @@
     }
 
     /// What an answer tells of the limit, where answers do.
-    pub fn report(&self, now: Ns, desk: usize) -> Option<Report> {
+    pub fn report(&self, now: Ns, desk: usize) -> Option<LimitReport> {
         let limiter = &self.routes[self.plan.route(desk)].limiter;
         let (limit, depth) = match limiter.allows {
             Allows::Rate { per_s } => (per_s * limiter.part, (per_s * limiter.part / 4.0).max(1.0)),
             Allows::Count { in_span, .. } => (in_span * limiter.part, (in_span * limiter.part).max(1.0)),
         };
-        let left = (limiter.room(now) / depth).clamp(0.0, 1.0);
-        self.plan.reports.then_some(Report { left, limit })
+        let remaining = (limiter.room(now) / depth).clamp(0.0, 1.0);
+        self.plan.reports.then_some(LimitReport { remaining, limit })
     }
 
     /// The part of its capacity that it has.
--- a/crates/world/src/plan.rs
+++ b/crates/world/src/plan.rs
@@ -377,8 +377,8 @@
 ) -> Settings {
     let fleet = &scenario.fleet;
     let class = |c: &scenario::Class| api::Class {
-        aim: c.aim.0,
-        aim_stretch: 0.0,
+        target: c.aim.0,
+        target_stretch: 0.0,
         deadline: c.deadline.0,
         effect: c.effect(),
         scope: DedupScope::All,
@@ -409,9 +409,9 @@
         dial_timeout: SECOND,
         hints: fleet.limits_told == LimitsTold::InLists,
         start_capacity: safety.start,
-        cold: safety.cold,
-        fall_multiple: safety.fall_multiple,
-        overload_for: safety.overload_for,
+        warm_up: safety.cold,
+        overload_multiple: safety.fall_multiple,
+        overload_window: safety.overload_for,
         ..Settings::default()
     }
 }
--- a/crates/world/tests/rules.rs
+++ b/crates/world/tests/rules.rs
@@ -70,7 +70,7 @@
             *in_flight += 1;
             *attempts += 1;
             *is_out = true;
-            out.push(Action::Send { id, endpoint, limit: SECOND, by: Ns::MAX / 2 });
+            out.push(Action::Send { id, endpoint, timeout: SECOND, send_by: Ns::MAX / 2 });
         }
     }
 }
@@ -85,7 +85,7 @@
                 }
                 Event::Message(m) => {
                     // From here on: until when.
-                    let message = Message { left: now + m.left, ..*m };
+                    let message = Message { time_left: now + m.time_left, ..*m };
                     self.held.insert(m.id, (message, 0, false, false));
                 }
                 Event::AttemptEnd(e) => {
@@ -105,8 +105,8 @@
             }
         }
         // What it does not deliver runs out of time, and it never says so.
-        self.held.retain(|_, (message, ..)| message.left > now);
-        let ticks = events.iter().any(|e| matches!(e, Event::Timer | Event::List { whole: true, .. }));
+        self.held.retain(|_, (message, ..)| message.time_left > now);
+        let ticks = events.iter().any(|e| matches!(e, Event::Timer | Event::List { complete: true, .. }));
         // All at each tick: that is what a partner that comes back cannot bear.
         if ticks || self.breaks != Rule::Cold {
             self.go(now, out);
