--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,16 +1,16 @@
-//! The cap on calls in flight to one endpoint, for senders that keep their queue themselves: the same figures and the
-//! same choice as on the ordinary path of [`crate::rules`].
+//! The cap on calls in flight to one endpoint, for senders that keep their own queue: the same measurements
+//! and the same choice as in [`crate::rules`].
 use crate::api::{AttemptEnd, Class, Effect, Ns, Outcome, Settings};
 use crate::rules::Dest;
 
-/// A class of messages, as far as admission needs it.
+/// The part of a class of messages that admission needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassDeadline {
-    /// What its latency is held against, in nanoseconds.
+    /// The latency that its calls must stay below, in nanoseconds.
     pub deadline: Ns,
 }
 
-/// Admission to one endpoint.
+/// Admission control for one endpoint.
 pub struct Admission {
     settings: Settings,
     dest: Dest,
@@ -33,13 +33,13 @@
 }
 
 impl Admission {
-    /// A new endpoint: its cap starts at the top, three quarters of its slots.
+    /// A new endpoint: its cap starts at the maximum, three quarters of its slots.
     pub fn new(slots: usize, classes: &[ClassDeadline]) -> Admission {
         let settings = settings(slots, classes);
         Admission { dest: Dest::new(&settings), settings }
     }
 
-    /// Other slots or classes; what was measured of classes that are the same stays.
+    /// Changes slots or classes; measurements of unchanged classes are kept.
     pub fn reconfigure(&mut self, slots: usize, classes: &[ClassDeadline]) {
         let changed = settings(slots, classes);
         if changed.slots != self.settings.slots || changed.classes != self.settings.classes {
@@ -48,24 +48,24 @@
         }
     }
 
-    /// Calls that may be in flight.
+    /// The number of calls that may be in flight.
     pub fn cap(&self) -> usize {
         self.dest.cap
     }
 
-    /// Slots that the endpoint was last said to have.
+    /// The slots that the endpoint last reported.
     pub fn slots(&self) -> usize {
         self.settings.slots
     }
 
-    /// A message of a class has come for this endpoint's service.
+    /// Records that a message of a class has arrived for this endpoint's service.
     pub fn record_arrival(&mut self, class: usize, now: Ns) {
-        if let Some(seen) = self.dest.classes.get_mut(class) {
-            seen.arrivals.book(now, 1.0);
+        if let Some(stats) = self.dest.classes.get_mut(class) {
+            stats.arrivals.record(now, 1.0);
         }
     }
 
-    /// Books how a call ended that was sent when so many were in flight.
+    /// Records how a call ended; `level` is the number of calls in flight when it was sent.
     pub fn record_end(&mut self, outcome: Outcome, took: Ns, class: usize, level: usize, now: Ns) {
         if class >= self.settings.classes.len() {
             return;
@@ -81,10 +81,10 @@
             report: None,
             reused_connection: false,
         };
-        self.dest.book(&end, class, level, now - took, &self.settings, now);
+        self.dest.add(&end, class, level, now - took, &self.settings, now);
     }
 
-    /// Chooses the cap anew; called every control period.
+    /// Chooses the cap; called every control period.
     pub fn update_cap(&mut self, now: Ns) {
         self.dest.choose_cap(&self.settings, now);
     }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,16 +1,16 @@
-//! The interface of the decision module: settings, events, actions. Data only, no decisions.
+//! The interface of the decision module: settings, events and actions. Data only, no decisions.
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in nanoseconds. The clock starts anywhere and only rises.
+/// A point in time or a duration, in nanoseconds. The clock has any origin and is monotonic.
 pub type Ns = i64;
 pub const MS: Ns = 1_000_000;
 pub const SECOND: Ns = 1_000 * MS;
 
-/// The caller's number for a message; never used again once the message has ended.
+/// The caller's number for a message; never used again after the message has ended.
 pub type MsgId = u64;
-/// The caller's number for an endpoint; stays the same as long as the sender runs.
+/// The caller's number for an endpoint; unchanged as long as the sender runs.
 pub type EndpointId = u32;
-/// Number of a destination (one partner's system).
+/// The number of a destination: one partner's system.
 pub type DestId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     Unsafe,
 }
 
-/// Which endpoints of a destination drop repeats of a keyed message.
+/// The endpoints of a destination that share one deduplication of keyed messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -30,27 +30,28 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Delivered within this time, a message earns its full worth.
+    /// Target latency: delivered within this time, a message earns its full worth.
     pub target: Ns,
-    /// The aim grows by this multiple of the message's own expected work.
+    /// The target grows by this multiple of the expected work of the message (`Message::cost`).
     pub target_stretch: f64,
-    /// From when it was first handed in until it is given up.
+    /// From the first submission until the message is given up.
     pub deadline: Ns,
     pub effect: Effect,
     pub scope: DedupScope,
-    /// Keyed: how long repeats are dropped, from the first attempt that may have run.
+    /// For keyed messages: how long repeats are dropped, from the first attempt that may have run.
     pub window: Ns,
     pub worth: f64,
     /// Share of the worth left at the deadline.
     pub late_worth: f64,
     pub in_order: bool,
-    /// Attempts of a message at most.
+    /// Maximum number of attempts of a message.
     pub max_attempts: u32,
 }
 
 impl Class {
-    /// What a message earns that is delivered with so much of its time left: all of its worth within the aim, which
-    /// grows with the work that is expected of it (`cost`); then ever less, by halves or evenly; past its time nothing.
+    /// The worth of a message that is delivered with `time_left` until its deadline: the full worth within
+    /// the target, which grows with the expected work (`cost`); then decreasing, by halves or linearly;
+    /// nothing after the deadline.
     pub fn worth_with_time_left(&self, time_left: Ns, cost: Ns, worth_halves: bool) -> f64 {
         let (age, deadline) = ((self.deadline - time_left) as f64, self.deadline as f64);
         let target = (self.target as f64 + self.target_stretch * cost as f64).min(deadline);
@@ -69,15 +70,15 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Kind {
-    /// Messages in one call at most.
+    /// Maximum number of messages in one call.
     pub batch: usize,
-    /// Each endpoint has its own limit, pace and outages.
+    /// Each endpoint has its own rate limit and circuit breaker.
     pub separate_routes: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Messages a second over all senders that earn their full worth.
+    /// Messages per second, over all senders, that earn their full worth.
     pub quota_per_s: f64,
 }
 
@@ -87,16 +88,16 @@
     pub kinds: Vec<Kind>,
     pub tenants: Vec<Tenant>,
     pub over_share_worth: f64,
-    /// Worth halves with each further aim (else it falls evenly to the deadline).
+    /// Worth halves with each further target time; else it falls linearly until the deadline.
     pub worth_halves: bool,
     pub n_instances: usize,
     pub zone: usize,
     pub tick: Ns,
-    /// Calls this sender may have out at once.
+    /// Calls that this sender may have in flight at once.
     pub slots: usize,
-    /// Messages it may hold, sent or not.
+    /// Messages it may hold, whether sent or not.
     pub max_open: usize,
-    /// Clients heed no longer time than this to come again after.
+    /// The longest time after which clients accept to be told to submit again.
     pub max_retry_after: Ns,
     pub may_duplicate: bool,
     pub may_probe: bool,
@@ -104,7 +105,7 @@
     pub streams_per_conn: usize,
     pub idle_close: Ns,
     pub dial_timeout: Ns,
-    /// The list's figure is a rate in calls a second, exact or rough.
+    /// The list gives a rate limit in calls per second, exact or (`rough_hints`) rough.
     pub hints: bool,
     pub rough_hints: bool,
     pub start_capacity: f64,
@@ -116,7 +117,7 @@
     pub price_cross_zone: f64,
     pub price_refused: f64,
     pub price_waste: f64,
-    /// For each zone: points for a message that a separate route there takes on.
+    /// For each zone: the price of a message that a separate route there accepts.
     pub route_fee: Vec<f64>,
 }
 
@@ -134,7 +135,7 @@
     pub kind: usize,
     pub zone: usize,
     pub condition: Condition,
-    /// Rate in calls a second where `Settings::hints` says so.
+    /// Rate limit in calls per second, if `Settings::hints` is set.
     pub hint: f64,
 }
 
@@ -143,19 +144,19 @@
     pub id: MsgId,
     pub class: usize,
     pub dest: DestId,
-    /// How long it may still be delivered.
+    /// How long the message may still be delivered.
     pub time_left: Ns,
     pub cost: Ns,
     pub key: Option<u64>,
     pub tenant: usize,
 }
 
-/// What an answer told of the destination's limit.
+/// What an answer reports of the destination's rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitReport {
-    /// Share of the allowance that is left.
+    /// Share of the allowance that remains.
     pub remaining: f64,
-    /// Calls a second from all senders; 0 where there is no limit.
+    /// Calls per second from all senders; 0 if there is no limit.
     pub limit: f64,
 }
 
@@ -166,7 +167,7 @@
     TurnedAway,
     NoAnswer,
     NoConnection,
-    /// Turned away with its new connection: the endpoint lives, but holds all the connections it takes.
+    /// The new connection was turned away: the endpoint is up, but holds all the connections it takes.
     Crowded,
     ConnectionLost,
     CalledOff,
@@ -174,12 +175,12 @@
 }
 
 impl Outcome {
-    /// It proves that the attempt had no effect.
+    /// Whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::Crowded | Outcome::NotSent)
     }
 
-    /// The attempt may run on after this outcome.
+    /// Whether the attempt may still be running after this outcome.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::NoAnswer | Outcome::ConnectionLost | Outcome::CalledOff)
     }
@@ -188,32 +189,33 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     pub id: MsgId,
-    /// Attempts of a message count from 0.
+    /// Attempts of a message are numbered from 0.
     pub attempt: u32,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
     pub took: Ns,
-    /// The message has ended, by this or before.
+    /// The message has ended, by this attempt or before.
     pub done: bool,
-    /// Told to send nothing to that destination (or route) for so long; 0 if not.
+    /// The destination (or route) asked to send nothing for this time; 0 if it did not.
     pub wait: Ns,
     pub report: Option<LimitReport>,
-    /// It was lost without a word on a connection that had carried calls before: the other side may just have
-    /// closed that one while it was idle.
+    /// The connection was lost without an answer, and had carried calls before: the other side may just have
+    /// closed it while it was idle.
     pub reused_connection: bool,
 }
 
-/// An attempt made by an earlier process, on this one's clock.
+/// An attempt made by an earlier process, with times on this process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct PastAttempt {
-    /// None once the list no longer names it.
+    /// `None` if the endpoint is no longer listed.
     pub endpoint: Option<EndpointId>,
     pub sent: Ns,
     pub may_have_run: bool,
 }
 
-/// What one process of a sender hands to the next of a route: a destination, or one endpoint of it where
-/// routes are separate. All times are spans from now: left to wait, or passed.
+/// The state of a route that one process of a sender hands over to the next. A route is a destination, or one
+/// endpoint of it where routes are separate. All times are durations from now: time left to wait, or time
+/// passed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteState {
     pub dest: DestId,
@@ -236,59 +238,61 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of endpoints. `whole`: what is missing from it is gone.
+    /// A list of endpoints. If it is `complete`, endpoints that it does not name are gone.
     List {
         complete: bool,
         entries: Vec<Entry>,
     },
     Message(Message),
-    /// A message that an earlier process of this sender took on; `past` are its attempts so far, all of them
-    /// over with that process.
+    /// A message that an earlier process of this sender accepted; `past` are its attempts, all ended with
+    /// that process.
     Resumed {
         message: Message,
         past: Vec<PastAttempt>,
     },
     AttemptEnd(AttemptEnd),
-    /// Calls that another process of this sender still has out, by destination: they hold slots. While it
-    /// sends by itself (`sends`) it has them all.
+    /// Destinations of calls that another process of this sender still has in flight; they hold slots. While
+    /// that process sends by itself (`sends`) it has all slots.
     OtherProcess {
         sends: bool,
         calls: Vec<DestId>,
     },
-    /// One of those calls has ended.
+    /// An attempt of that process has ended.
     OtherProcessAttemptEnd(AttemptEnd),
-    /// What the process that sent before this one knew.
+    /// The routes that the previous process had in use.
     RestoredRoutes(Vec<RouteState>),
-    /// New settings in place of the old. A class that open messages have keeps its number and its rules: it is
-    /// in the table for as long as they are, though no new message comes with it.
+    /// New settings replace the old ones. A class of open messages keeps its number and its rules: it stays
+    /// in the table as long as they do, even if no new message has it.
     Settings(Settings),
-    /// The client took the message back; nothing more is owed.
+    /// The client withdrew the message; it needs no answer.
     Expired {
         id: MsgId,
     },
-    /// The machine goes for good (or, false, stays): every message ends now, and so does each that still comes.
+    /// The machine is being retired (or, if false, is kept after all): all messages end now, and so does each
+    /// new one.
     Evacuate(bool),
     Timer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Sends to one endpoint in one reply share a call, up to `Kind::batch`. `limit` 0: until the client gives up.
+    /// Sends to one endpoint in one batch of actions share a call, up to `Kind::batch`. `timeout` 0: none but
+    /// the client's.
     Send {
         id: MsgId,
         endpoint: EndpointId,
         timeout: Ns,
-        /// Its first byte must be written before this time, however long a connection takes.
+        /// The first byte must be written before this time, even if connecting takes long.
         send_by: Ns,
     },
-    /// Final: handing it in again is harmless.
+    /// Final: submitting the message again is harmless.
     Refuse {
         id: MsgId,
         backoff: Ns,
-        /// For lack of time.
+        /// Because the message has no time left.
         late: bool,
     },
-    /// Final: it may have taken effect.
+    /// Final: the message may have taken effect.
     Fail {
         id: MsgId,
         late: bool,
@@ -297,49 +301,49 @@
         id: MsgId,
         attempt: u32,
     },
-    /// Closes this sender's idle connections there.
+    /// Close this sender's idle connections to the endpoint.
     Close {
         endpoint: EndpointId,
     },
-    /// Ask for an `Event::Timer` at or after this time.
+    /// Request an `Event::Timer` at or after this time.
     Timer {
         at: Ns,
     },
 }
 
-/// Why a destination's held work does not go now.
+/// Why a destination's held messages are not sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
     Open,
-    /// All slots of the sender are taken.
+    /// All slots of the sender are in use.
     Slots,
-    /// As many calls are out there as its cap allows.
+    /// The calls in flight have reached the cap.
     Cap,
-    /// The list names no endpoint that takes new work.
+    /// No listed endpoint takes new calls.
     NoEndpoint,
-    /// It told how long to wait.
+    /// The destination asked to wait.
     Wait,
-    /// It turned work away and is left alone for a moment.
+    /// The destination refused a call and gets none for a moment.
     Pause,
-    /// It failed: a trial call is out, or the next one is not due.
+    /// The circuit breaker is open: a trial call is in flight, or the next one is not due.
     Doubt,
-    /// Its rate, or what it can do while it is cold, is used up for now.
+    /// The rate limit, or the capacity of a cold route, is used up for now.
     Pace,
 }
 
-/// What an operator may want to know of a destination with work held. For logs: nothing is decided by it.
+/// The state of a destination with held messages, for logs. Nothing is decided by it.
 #[derive(Clone, Copy, Debug)]
 pub struct Backlog {
     pub dest: DestId,
     pub held: usize,
-    /// Since the oldest of it came.
+    /// Age of the oldest held message.
     pub oldest: Ns,
     pub in_flight: usize,
     pub cap: usize,
     pub hold_reason: HoldReason,
-    /// Messages served a second, of late.
+    /// Recently served messages per second.
     pub served: f64,
-    /// Calls a second that it takes from all senders as far as told (0: not told), and the part of it used here.
+    /// Calls per second that it takes from all senders (0: unknown), and the share of it used here.
     pub limit: f64,
     pub share: f64,
 }
--- a/crates/policy/src/bucket.rs
+++ b/crates/policy/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket whose rate and depth are given each time, as both may change. Nothing here knows of senders.
+//! A token bucket whose rate and depth are given with each call, as both may change. Independent of senders.
 use crate::api::Ns;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -8,18 +8,18 @@
 }
 
 impl Bucket {
-    pub fn of(tokens: f64, now: Ns) -> Bucket {
+    pub fn new(tokens: f64, now: Ns) -> Bucket {
         Bucket { tokens, filled_at: now }
     }
 
     pub fn is_full(mut self, rate: f64, depth: f64, now: Ns) -> bool {
-        self.fill(rate, depth, now);
+        self.refill(rate, depth, now);
         self.tokens >= depth
     }
 
-    /// Fills it for the time that has passed, at `rate` tokens a second and up to `depth`. Tells when it holds one: now,
-    /// or at so much later a time.
-    pub fn fill(&mut self, rate: f64, depth: f64, now: Ns) -> Ns {
+    /// Adds tokens for the time passed, at `rate` tokens per second and up to `depth`. Returns when the
+    /// bucket holds one token: now or later.
+    pub fn refill(&mut self, rate: f64, depth: f64, now: Ns) -> Ns {
         let passed = (now - self.filled_at).max(0) as f64 / 1e9;
         *self = Bucket { tokens: (self.tokens + passed * rate).min(depth), filled_at: now };
         if self.tokens >= 1.0 {
--- a/crates/policy/src/caps_tests.rs
+++ b/crates/policy/src/caps_tests.rs
@@ -1,12 +1,12 @@
 //! The choice of a cap against its plain formula, which keeps a figure for every level and scores each.
 use crate::api::*;
-use crate::lot::Lot;
-use crate::rules::{Dest, Stat, MEASURED};
+use crate::rng::Rng;
+use crate::rules::{Dest, Stats, MIN_WEIGHT};
 
 /// The rule as the paper has it, over all levels.
 struct Plain {
     cap: usize,
-    classes: Vec<(Stat, Vec<Stat>)>,
+    classes: Vec<(Stats, Vec<Stats>)>,
 }
 
 fn top(cfg: &Settings) -> usize {
@@ -15,7 +15,7 @@
 
 impl Plain {
     fn new(cfg: &Settings) -> Plain {
-        let seen = (Stat::default(), vec![Stat::default(); top(cfg) + 1]);
+        let seen = (Stats::default(), vec![Stats::default(); top(cfg) + 1]);
         Plain { cap: top(cfg), classes: vec![seen; cfg.classes.len()] }
     }
 
@@ -24,7 +24,7 @@
             if old.classes[c] != new.classes[c] {
                 (*arrivals, *levels) = Default::default();
             }
-            levels.resize(top(new) + 1, Stat::default());
+            levels.resize(top(new) + 1, Stats::default());
         }
         self.cap = if self.cap == top(old) { top(new) } else { self.cap.min(top(new)) };
     }
@@ -34,12 +34,13 @@
         let mut scores = vec![0.0; top + 1];
         let mut all = 0.0;
         for ((arrivals, levels), class) in self.classes.iter().zip(&cfg.classes) {
-            let share = arrivals.aged(now);
+            let share = arrivals.weight_at(now);
             all += share;
-            let measured: Vec<usize> = (1..=top).filter(|&l| levels[l].aged(now) >= MEASURED).collect();
+            let measured: Vec<usize> =
+                (1..=top).filter(|&l| levels[l].weight_at(now) >= MIN_WEIGHT).collect();
             for (level, score) in scores.iter_mut().enumerate().skip(1) {
                 let meets = match measured.iter().min_by_key(|&&m| (m.abs_diff(level), m)) {
-                    Some(&nearest) => levels[nearest].bound(1.0) < class.target as f64,
+                    Some(&nearest) => levels[nearest].upper_bound(1.0) < class.target as f64,
                     None => level <= self.cap,
                 };
                 if meets {
@@ -48,7 +49,7 @@
             }
         }
         let best = (1..=top).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
-        if scores[best] <= 0.0 && all > MEASURED {
+        if scores[best] <= 0.0 && all > MIN_WEIGHT {
             self.cap = 1;
         } else if scores[best] > scores[self.cap] * (1.0 + 1e-9) {
             self.cap = best;
@@ -56,12 +57,12 @@
     }
 }
 
-struct Draws(Lot);
+struct Draws(Rng);
 
 impl Draws {
     /// From 0, under `n`.
     fn under(&mut self, n: usize) -> usize {
-        (self.0.draw() * n as f64) as usize
+        (self.0.uniform() * n as f64) as usize
     }
 
     fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
@@ -100,12 +101,13 @@
     ];
     let mut caps = std::collections::BTreeMap::<usize, usize>::new();
     for seed in 0..300 {
-        let mut draws = Draws(Lot::seeded(seed));
+        let mut draws = Draws(Rng::new(seed));
         let classes = (0..1 + draws.under(4)).map(|_| draws.class()).collect();
         let mut cfg = Settings { classes, slots: draws.slots(), ..Settings::default() };
         let (mut dest, mut plain, mut now) = (Dest::new(&cfg), Plain::new(&cfg), 1_000 * SECOND);
         for step in 0..400 {
-            // Mostly close to each other, and now and then so far apart that figures fade, or weigh nothing at all.
+            // Mostly close to each other, and now and then so far apart that figures fade, or weigh nothing
+            // at all.
             now += draws.one_of(&[0, MS, 50 * MS, 50 * MS, 200 * MS]);
             if draws.under(60) == 0 {
                 now += draws.one_of(&[5 * SECOND, 15 * SECOND, 120 * SECOND, 1_000 * SECOND]);
@@ -114,8 +116,8 @@
             // With equal shares levels come out exactly equal.
             let arrivals = if seed % 3 == 0 { 0..cfg.classes.len() } else { class..class + draws.under(2) };
             for class in arrivals {
-                dest.classes[class].arrivals.book(now, 1.0);
-                plain.classes[class].0.book(now, 1.0);
+                dest.classes[class].arrivals.record(now, 1.0);
+                plain.classes[class].0.record(now, 1.0);
             }
             // As a change of the slots leaves it, a call may have been sent at a level above the highest.
             let level = 1 + draws.under(top(&cfg) + 1);
@@ -132,12 +134,12 @@
                 report: None,
                 reused_connection,
             };
-            dest.book(&end, class, level, now - took, &cfg, now);
+            dest.add(&end, class, level, now - took, &cfg, now);
             use Outcome::{ConnectionLost, NoAnswer, Served, ServerError, TurnedAway};
             let tells = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
             if tells && !reused_connection {
                 let x = if outcome == Outcome::Served { took } else { cfg.classes[class].target };
-                plain.classes[class].1[level.min(top(&cfg))].book(now, x as f64);
+                plain.classes[class].1[level.min(top(&cfg))].record(now, x as f64);
             }
             dest.choose_cap(&cfg, now);
             plain.choose(&cfg, now);
@@ -161,12 +163,12 @@
     let measured = |levels: &crate::levels::Levels<3_000>, now| levels.nearest(now, 0.0, 300).count();
     let first = 1_000 * SECOND;
     for level in [7, 300, 1, 7, 299] {
-        levels.book(level, first, 1e9);
+        levels.record(level, first, 1e9);
     }
     assert_eq!(measured(&levels, first), 4, "one for each level that was booked");
-    levels.book(7, first + 300 * SECOND, 1e9);
-    levels.book(50, first + 600 * SECOND, 1e9);
+    levels.record(7, first + 300 * SECOND, 1e9);
+    levels.record(50, first + 600 * SECOND, 1e9);
     assert_eq!(measured(&levels, first + 600 * SECOND), 2, "what was booked 600 s ago weighs nothing");
-    levels.cut(49);
+    levels.drop_above(49);
     assert_eq!(measured(&levels, first + 600 * SECOND), 1);
 }
--- a/crates/policy/src/listing.rs
+++ b/crates/policy/src/listing.rs
@@ -1,48 +1,48 @@
-//! The list of endpoints as it was told, compact, by endpoint and by destination: what is listed and never used costs
-//! this and nothing else. Nothing here decides.
+//! The endpoint list, stored compactly and indexed by endpoint and by destination: a listed endpoint that is
+//! never used costs only this. No decisions here.
 use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What shares one limit and one outage: all endpoints of a destination (`EndpointId::MAX`), or one of them.
+/// The unit of rate limits and outages: all endpoints of a destination (`EndpointId::MAX`), or one of them.
 pub type RouteId = (DestId, EndpointId);
 
-/// What the list says of an endpoint.
+/// A list entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub dest: DestId,
     kind: u16,
     zone: u16,
-    /// It takes new work.
+    /// The endpoint takes new calls.
     pub usable: bool,
 }
 
-/// What holds for a route that was never used: what the list told of its limit, and when it came on the list.
+/// The state of a route that was never used: its limit from the list, and when it was first listed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
-    /// Calls a second; 0 where the list doesn't tell.
+pub struct Hint {
+    /// Calls per second; 0 if the list has none.
     pub hint: f64,
     pub since: Ns,
-    /// So many share the limit equally at first.
-    pub among: usize,
+    /// The number of senders among which the limit is split equally at first.
+    pub split: usize,
 }
 
 #[derive(Debug, Default)]
 pub struct Listing {
-    endpoints: BTreeMap<EndpointId, Listed>,
-    places: BTreeSet<RouteId>,
-    /// Those that take no new work.
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
+    by_dest: BTreeSet<RouteId>,
+    /// Endpoints that take no new calls.
     unusable: BTreeSet<EndpointId>,
-    routes: BTreeMap<RouteId, Told>,
-    /// Limits that routes reported when they were used.
+    routes: BTreeMap<RouteId, Hint>,
+    /// Limits that routes reported while in use.
     limits: BTreeMap<RouteId, f64>,
 }
 
-/// A number in a table of the settings; what is in none stays so.
-fn narrow(number: usize) -> u16 {
+/// Narrows an index into a table of the settings; one that is out of range stays so.
+fn to_u16(number: usize) -> u16 {
     u16::try_from(number).unwrap_or(u16::MAX)
 }
 
-fn wide(number: u16) -> usize {
+fn from_u16(number: u16) -> usize {
     if number == u16::MAX {
         usize::MAX
     } else {
@@ -50,42 +50,43 @@
     }
 }
 
-impl Listed {
-    pub fn new(entry: &Entry, usable: bool) -> Listed {
-        let (kind, zone) = (narrow(entry.kind), narrow(entry.zone));
-        Listed { dest: entry.dest, kind, zone, usable }
+impl ListedEndpoint {
+    pub fn new(entry: &Entry, usable: bool) -> ListedEndpoint {
+        let (kind, zone) = (to_u16(entry.kind), to_u16(entry.zone));
+        ListedEndpoint { dest: entry.dest, kind, zone, usable }
     }
 
     pub fn kind(&self) -> usize {
-        wide(self.kind)
+        from_u16(self.kind)
     }
 
     pub fn zone(&self) -> usize {
-        wide(self.zone)
+        from_u16(self.zone)
     }
 }
 
 impl Listing {
-    pub fn get(&self, endpoint: EndpointId) -> Option<&Listed> {
+    pub fn get(&self, endpoint: EndpointId) -> Option<&ListedEndpoint> {
         self.endpoints.get(&endpoint)
     }
 
-    /// What the list says of an endpoint that is in use: as long as it is, it stays listed.
-    pub fn at(&self, endpoint: EndpointId) -> &Listed {
+    /// The entry of an endpoint in use, which stays listed as long as it is used.
+    pub fn at(&self, endpoint: EndpointId) -> &ListedEndpoint {
         self.get(endpoint).expect("what is in use is listed")
     }
 
     /// The endpoints of a destination.
-    pub fn places(&self, dest: DestId) -> impl Iterator<Item = EndpointId> + '_ {
-        self.places.range((dest, 0)..=(dest, EndpointId::MAX)).map(|place| place.1)
+    pub fn endpoints_of(&self, dest: DestId) -> impl Iterator<Item = EndpointId> + '_ {
+        self.by_dest.range((dest, 0)..=(dest, EndpointId::MAX)).map(|entry| entry.1)
     }
 
-    /// Those of them that take new work.
+    /// The endpoints of a destination that take new calls.
     pub fn usable(&self, dest: DestId) -> impl Iterator<Item = EndpointId> + '_ {
-        self.places(dest).filter(|place| self.endpoints.get(place).is_some_and(|listed| listed.usable))
+        self.endpoints_of(dest)
+            .filter(|endpoint| self.endpoints.get(endpoint).is_some_and(|listed| listed.usable))
     }
 
-    pub fn told(&self, route: RouteId) -> Option<&Told> {
+    pub fn route_hint(&self, route: RouteId) -> Option<&Hint> {
         self.routes.get(&route)
     }
 
@@ -93,8 +94,8 @@
         self.limits.get(&route).copied()
     }
 
-    /// Books an endpoint as it is listed now; tells how it was before.
-    pub fn set(&mut self, endpoint: EndpointId, listed: Listed) -> Option<Listed> {
+    /// Sets the entry of an endpoint; returns the previous one.
+    pub fn set(&mut self, endpoint: EndpointId, listed: ListedEndpoint) -> Option<ListedEndpoint> {
         let before = self.endpoints.insert(endpoint, listed);
         if listed.usable {
             self.unusable.remove(&endpoint);
@@ -102,39 +103,39 @@
             self.unusable.insert(endpoint);
         }
         if before.is_none_or(|before| before.dest != listed.dest) {
-            before.into_iter().for_each(|before| self.leave(before.dest, endpoint));
-            self.places.insert((listed.dest, endpoint));
+            before.into_iter().for_each(|before| self.detach(before.dest, endpoint));
+            self.by_dest.insert((listed.dest, endpoint));
         }
         before
     }
 
-    /// Books what the list tells of a route's limit; the rest stands as it was told first.
-    pub fn tell(&mut self, route: RouteId, told: Told) {
-        self.routes.entry(route).or_insert(told).hint = told.hint;
+    /// Sets a route's limit from the list; the other fields stay as they were first.
+    pub fn set_hint(&mut self, route: RouteId, hint: Hint) {
+        self.routes.entry(route).or_insert(hint).hint = hint.hint;
     }
 
-    /// Keeps a limit that a route has reported, for as long as it is listed.
-    pub fn keep_limit(&mut self, route: RouteId, limit: f64) {
+    /// Saves a reported limit for as long as the route is listed.
+    pub fn save_limit(&mut self, route: RouteId, limit: f64) {
         if self.routes.contains_key(&route) {
             self.limits.insert(route, limit);
         }
     }
 
-    pub fn remove(&mut self, endpoint: EndpointId) -> Option<Listed> {
+    pub fn remove(&mut self, endpoint: EndpointId) -> Option<ListedEndpoint> {
         let listed = self.endpoints.remove(&endpoint)?;
         self.unusable.remove(&endpoint);
-        self.leave(listed.dest, endpoint);
+        self.detach(listed.dest, endpoint);
         Some(listed)
     }
 
-    /// Drops what is told of a route that no endpoint has any more.
-    pub fn forget(&mut self, route: RouteId) {
+    /// Removes a route that no endpoint has any more.
+    pub fn remove_route(&mut self, route: RouteId) {
         self.routes.remove(&route);
         self.limits.remove(&route);
     }
 
-    /// A whole list comes: what it doesn't name takes no new work.
-    pub fn withdraw_others(&mut self, named: &[Entry]) {
+    /// Marks all endpoints as unusable that a complete list does not name.
+    pub fn mark_others_unusable(&mut self, named: &[Entry]) {
         let named: BTreeSet<EndpointId> = named.iter().map(|entry| entry.endpoint).collect();
         for (&id, listed) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
             listed.usable = false;
@@ -146,14 +147,14 @@
         self.unusable.iter().copied()
     }
 
-    /// An endpoint leaves a destination; with the last one goes what was told of its routes.
-    fn leave(&mut self, dest: DestId, endpoint: EndpointId) {
-        self.places.remove(&(dest, endpoint));
-        self.forget((dest, endpoint));
-        if self.places(dest).next().is_none() {
+    /// Detaches an endpoint from a destination; the last one takes its routes with it.
+    fn detach(&mut self, dest: DestId, endpoint: EndpointId) {
+        self.by_dest.remove(&(dest, endpoint));
+        self.remove_route((dest, endpoint));
+        if self.endpoints_of(dest).next().is_none() {
             let all: Vec<RouteId> =
                 self.routes.range((dest, 0)..=(dest, EndpointId::MAX)).map(|r| *r.0).collect();
-            all.into_iter().for_each(|route| self.forget(route));
+            all.into_iter().for_each(|route| self.remove_route(route));
         }
     }
 }
--- a/crates/policy/src/records.rs
+++ b/crates/policy/src/records.rs
@@ -1,12 +1,12 @@
-//! What is remembered of a destination: records that come with its first use, as if they had stood there since it was
-//! listed, and go all together. When they go is decided in `rules`; nothing here decides.
+//! Records of destinations in use. They are created on first use, as if they had existed since the
+//! destination was listed, and are removed together. `rules` decides when; no decisions here.
 use crate::api::*;
-use crate::listing::{Listed, RouteId, Told};
+use crate::listing::{Hint, ListedEndpoint, RouteId};
 use crate::rules::{Dest, Endpoint, Route, Sender, LONG_AGO};
 
 impl Sender {
-    /// The route of an endpoint that is listed so.
-    pub(crate) fn route_at(&self, dest: DestId, kind: usize, endpoint: EndpointId) -> RouteId {
+    /// The route of an endpoint with this destination and kind.
+    pub(crate) fn route_for(&self, dest: DestId, kind: usize, endpoint: EndpointId) -> RouteId {
         let separate = self.cfg.kinds.get(kind).is_some_and(|k| k.separate_routes);
         (dest, if separate { endpoint } else { EndpointId::MAX })
     }
@@ -14,77 +14,78 @@
     /// The route of a listed endpoint.
     pub(crate) fn route_of(&self, endpoint: EndpointId) -> RouteId {
         let listed = self.listing.at(endpoint);
-        self.route_at(listed.dest, listed.kind(), endpoint)
+        self.route_for(listed.dest, listed.kind(), endpoint)
     }
 
-    /// The records of a destination; a first use makes them.
-    pub(crate) fn dest(&mut self, id: DestId) -> &mut Dest {
+    /// The records of a destination, created on first use.
+    pub(crate) fn dest_mut(&mut self, id: DestId) -> &mut Dest {
         if !self.dests.contains_key(&id) {
             self.dests.insert(id, Dest::new(&self.cfg));
-            let places: Vec<EndpointId> = self.listing.places(id).collect();
-            places.into_iter().for_each(|place| self.open_place(place));
-            self.resting.set(id, Some(self.now));
+            let endpoints: Vec<EndpointId> = self.listing.endpoints_of(id).collect();
+            endpoints.into_iter().for_each(|endpoint| self.ensure_endpoint(endpoint));
+            self.unused_dests.set(id, Some(self.now));
         }
         self.dests.get_mut(&id).expect("made above where it was missing")
     }
 
-    /// Sees to it that a listed endpoint has its records, and its destination too.
-    pub(crate) fn open_place(&mut self, id: EndpointId) {
+    /// Creates the records of a listed endpoint and its destination where they are missing.
+    pub(crate) fn ensure_endpoint(&mut self, id: EndpointId) {
         let Some(listed) = self.listing.get(id) else { return };
         let (dest, route_id) = (listed.dest, self.route_of(id));
-        let never = Endpoint { used_at: LONG_AGO, served_at: LONG_AGO, gap: Ns::MAX, ..Endpoint::default() };
-        self.endpoints.entry(id).or_insert(never);
-        self.dest(dest);
+        let unused =
+            Endpoint { used_at: LONG_AGO, served_at: LONG_AGO, last_gap: Ns::MAX, ..Endpoint::default() };
+        self.endpoints.entry(id).or_insert(unused);
+        self.dest_mut(dest);
         let new = self.new_route(route_id);
         let hint = new.hint;
         self.routes.entry(route_id).or_insert(new).hint = hint;
     }
 
-    /// Takes an entry of the list in.
-    pub(crate) fn open(&mut self, entry: &Entry, usable: bool, told: Told) {
-        let (id, listed) = (entry.endpoint, Listed::new(entry, usable));
+    /// Applies an entry of the list.
+    pub(crate) fn set_entry(&mut self, entry: &Entry, usable: bool, route_hint: Hint) {
+        let (id, listed) = (entry.endpoint, ListedEndpoint::new(entry, usable));
         let before = self.listing.set(id, listed);
-        self.listing.tell(self.route_at(entry.dest, entry.kind, id), told);
+        self.listing.set_hint(self.route_for(entry.dest, entry.kind, id), route_hint);
         if let Some(before) = before.filter(|before| before.dest != entry.dest) {
             self.routes.remove(&(before.dest, id));
         }
         if self.dests.contains_key(&entry.dest) || self.endpoints.contains_key(&id) {
-            self.open_place(id);
+            self.ensure_endpoint(id);
         }
     }
 
-    /// Whether another endpoint has the route of this one.
+    /// Whether another endpoint has the same route.
     pub(crate) fn shares_route(&self, id: EndpointId) -> bool {
         let route = self.route_of(id);
-        self.listing.places(route.0).any(|e| e != id && self.route_of(e) == route)
+        self.listing.endpoints_of(route.0).any(|e| e != id && self.route_of(e) == route)
     }
 
-    /// Drops an endpoint; with the last one of its route goes that.
-    pub(crate) fn drop_place(&mut self, id: EndpointId) {
+    /// Removes an endpoint, and its route if no other endpoint has it.
+    pub(crate) fn remove_endpoint(&mut self, id: EndpointId) {
         let (route, shares) = (self.route_of(id), self.shares_route(id));
         if !shares {
             self.routes.remove(&route);
         }
-        // It had one of its own if other settings held once.
+        // Under earlier settings it may have had a route of its own.
         self.routes.remove(&(route.0, id));
         self.listing.remove(id);
-        self.idle.set(id, None);
+        self.idle_endpoints.set(id, None);
         self.endpoints.remove(&id);
     }
 
-    /// Drops the records of a destination; it stays listed.
-    pub(crate) fn drop_dest(&mut self, id: DestId) {
-        self.agenda.set(id, None);
-        self.resting.set(id, None);
+    /// Removes the records of a destination; it stays listed.
+    pub(crate) fn remove_dest(&mut self, id: DestId) {
+        self.schedule.set(id, None);
+        self.unused_dests.set(id, None);
         self.dests.remove(&id);
-        for place in self.listing.places(id) {
-            self.idle.set(place, None);
-            self.endpoints.remove(&place);
+        for endpoint in self.listing.endpoints_of(id) {
+            self.idle_endpoints.set(endpoint, None);
+            self.endpoints.remove(&endpoint);
         }
         let routes: Vec<(RouteId, Option<f64>)> = self.routes_of(id).map(|(id, r)| (id, r.limit)).collect();
         for (route, limit) in routes {
             self.routes.remove(&route);
-            limit.into_iter().for_each(|limit| self.listing.keep_limit(route, limit));
+            limit.into_iter().for_each(|limit| self.listing.save_limit(route, limit));
         }
     }
 
--- a/crates/policy/src/rules/pace.rs
+++ b/crates/policy/src/rules/pace.rs
@@ -1,49 +1,47 @@
-//! The pace of calls under a limit that all senders share, learned from what is served and refused.
+//! The rate of calls under a limit that all senders share, learned from served and refused calls.
 use super::*;
 
-/// A told wait of this length is no limit's: the route is shut. So are so many refusals in a row, where the
-/// limit might explain them too.
-pub const SHUT_WAIT: Ns = 1_500 * MS;
-const SHUT_RUN: u32 = 4;
-/// What was told of a limit's use holds for so long; in as long again an equal share grows to all.
-pub const STALE: Ns = 5 * SECOND;
-/// A refusal leaves this part of an equal share, and refusals in a row at least so much of it; less among
-/// many. At some limits refused calls count too: nobody is served until all together ask for clearly less.
-const LESS: f64 = 0.8;
-const LEAST: f64 = 0.5;
-/// After a refusal an equal share comes back in steps of this, each twice the one before: some waits that are
-/// told, so that a limit that is still used up shows in time.
-const RECOVER: Ns = SECOND;
-/// Room left takes the share up by this power of the number of senders: as many answers lead from an equal
-/// share to all, however many there are.
-const RISE: f64 = 0.045;
+/// A requested wait of this length means an outage, not a rate limit.
+pub const OUTAGE_WAIT: Ns = 1_500 * MS;
+/// So many consecutive refusals mean an outage too, where no report says how much of the limit is left.
+const OUTAGE_REFUSALS: u32 = 4;
+/// How long a report of the limit's use is valid; in as much again the fair share grows to the full limit.
+pub const REPORT_LIFETIME: Ns = 5 * SECOND;
+/// A refusal leaves this part of the fair share, and several leave at least the second; less among many
+/// senders. Some limits count refused calls too: no call is served until all senders ask for clearly less.
+const REFUSAL_FACTOR: f64 = 0.8;
+const MIN_REFUSAL_FACTOR: f64 = 0.5;
+/// The share doubles per step after a refusal, over a few requested waits: a limit still used up shows then.
+const RECOVERY_STEP: Ns = SECOND;
+/// While allowance is left each answer multiplies the share by this power of the number of senders: it takes
+/// as many answers from the fair share to the full limit, however many senders there are.
+const SHARE_RISE_EXPONENT: f64 = 0.045;
 
-/// How many calls at once a rate in calls a second allows.
+/// The depth of the token bucket for a rate in calls per second.
 fn burst(rate: f64) -> f64 {
     (0.4 * rate).clamp(1.0, 4.0)
 }
 
 impl Route {
-    /// The limit as it was reported, else as the list has it; 0 where neither tells.
     pub fn rate(&self) -> f64 {
         self.limit.unwrap_or(self.hint)
     }
 
-    /// The share that may be used: what is not told again grows back, as others' calls are not seen. Up to an
-    /// equal one (`fair`) soon, as all together keep to the limit then; beyond it only once news is stale.
-    pub fn share_now(&self, now: Ns, fair: f64) -> f64 {
-        let since = (now - self.share_at).max(0) as f64 / SECOND as f64;
-        let (recover, stale) = (RECOVER as f64 / SECOND as f64, STALE as f64 / SECOND as f64);
-        let below = (fair / self.share).log2().max(0.0);
-        let back = if below > 0.0 { recover * (1.0 + below) } else { 0.0 };
-        if since < back {
-            self.share * ((since - recover).max(0.0) / recover).exp2()
+    /// The share that may be used now. A reduced one grows back, as other senders' calls are not seen: soon
+    /// up to the `fair` share, which keeps the limit; above it only once the last report is out of date.
+    pub fn current_share(&self, now: Ns, fair: f64) -> f64 {
+        let elapsed = (now - self.share_at).max(0) as f64 / SECOND as f64;
+        let (step, ttl) = (RECOVERY_STEP as f64 / SECOND as f64, REPORT_LIFETIME as f64 / SECOND as f64);
+        let halvings = (fair / self.share).log2().max(0.0);
+        let recovery = if halvings > 0.0 { step * (1.0 + halvings) } else { 0.0 };
+        if elapsed < recovery {
+            self.share * ((elapsed - step).max(0.0) / step).exp2()
         } else {
-            (self.share.max(fair) * fair.recip().powf((since - back - stale).max(0.0) / stale)).min(1.0)
+            (self.share.max(fair) * fair.recip().powf((elapsed - recovery - ttl).max(0.0) / ttl)).min(1.0)
         }
     }
 
-    /// Books a report of the limit; tells what of the allowance is left, if there is one.
+    /// Records a report; returns the remaining share of the allowance, if there is a limit.
     pub fn reported(&mut self, report: LimitReport) -> Option<f64> {
         if !report.limit.is_finite() || report.limit < 0.0 {
             return None;
@@ -55,76 +53,74 @@
         (report.limit > 0.0).then_some(report.remaining)
     }
 
-    /// A call was served. The share follows what is left of the allowance: others' calls are not seen
-    /// otherwise, and served without a word of the limit tells nothing of others' part.
-    pub fn served(&mut self, left: Option<f64>, n: f64, now: Ns) {
-        self.served.book(now, 1.0);
+    /// A call was served. The share follows the allowance left, the only sign of other senders' calls.
+    pub fn served(&mut self, remaining: Option<f64>, senders: f64, now: Ns) {
+        self.served.record(now, 1.0);
         (self.failures, self.refusals, self.crowded) = (0, 0, 0);
-        self.failing *= 0.7;
+        self.failure_share *= 0.7;
         self.doubt = false;
-        let Some(left) = left else { return };
-        let share = self.share_now(now, 1.0 / n);
-        (self.share, self.share_at) = match left {
-            l if l > 0.5 => ((share * n.powf(RISE)).min(1.0), now - STALE),
-            l if l < 0.2 => ((share * 0.95).max(0.7 / n), now),
+        let Some(remaining) = remaining else { return };
+        let share = self.current_share(now, 1.0 / senders);
+        (self.share, self.share_at) = match remaining {
+            l if l > 0.5 => ((share * senders.powf(SHARE_RISE_EXPONENT)).min(1.0), now - REPORT_LIFETIME),
+            l if l < 0.2 => ((share * 0.95).max(0.7 / senders), now),
             _ => (share, now),
         };
     }
 
-    /// A call was refused; tells whether that reads as shut rather than as the limit: a long wait, plenty
-    /// left, or refusals only.
-    pub fn refused(&mut self, wait: Ns, left: Option<f64>, n: f64, jitter: f64, now: Ns) -> bool {
-        self.refused_at = now;
+    /// A call was refused. Returns whether that means an outage rather than the limit: by plenty of allowance
+    /// left or, without a report, by a long wait or many refusals.
+    pub fn refused(&mut self, wait: Ns, remaining: Option<f64>, senders: f64, jitter: f64, now: Ns) -> bool {
+        self.last_refusal = now;
         self.refusals += 1;
-        // Of many senders each hears few of the refusals, so each of these weighs more.
-        let weight = 1.0 + (n / 3.0).max(1.0).log10();
-        let less = self.share_now(now, 1.0 / n).min(1.0 / n) * LESS.powf(weight);
-        self.share = less.max(LEAST.powf(weight) / n);
-        // The pause is no staleness: else all would grow back in it and use up the limit by asking.
+        // Each of many senders sees few of the refusals, so each refusal weighs more.
+        let weight = 1.0 + (senders / 3.0).max(1.0).log10();
+        let reduced = self.current_share(now, 1.0 / senders).min(1.0 / senders) * REFUSAL_FACTOR.powf(weight);
+        self.share = reduced.max(MIN_REFUSAL_FACTOR.powf(weight) / senders);
+        // The share must not grow back during the pause, or new calls alone would exhaust the limit.
         let rate = self.rate() * self.share;
         self.share_at = now + if rate > 0.0 { (1e9 / rate).min(30e9) as Ns } else { 0 };
-        // Those who were refused together come back around their turn's end, not in step at it.
+        // Senders that were refused together must not return at the same time.
         self.bucket.tokens = self.bucket.tokens.min(0.0) + 1.0 - jitter;
-        let back = (PERIOD << (self.refusals - 1).min(4)) as f64 * jitter;
-        self.not_before = self.not_before.max(now + back as Ns);
-        left.map_or(wait >= SHUT_WAIT || self.refusals >= SHUT_RUN, |l| l > 0.4)
+        let pause = (CONTROL_PERIOD << (self.refusals - 1).min(4)) as f64 * jitter;
+        self.paused_until = self.paused_until.max(now + pause as Ns);
+        remaining.map_or(wait >= OUTAGE_WAIT || self.refusals >= OUTAGE_REFUSALS, |remaining| remaining > 0.4)
     }
 
-    /// A new connection found no place. Each try costs the endpoint a handshake: all senders together try
-    /// half as often as they may call, once they were turned away a few times.
-    pub fn crowded(&mut self, n: f64, jitter: f64, now: Ns) {
-        let turn = if self.rate() > 0.0 { 2e9 * n / self.rate() } else { f64::INFINITY };
-        let back = ((PERIOD << self.crowded.min(6)) as f64).min(turn.max(PERIOD as f64));
+    /// A new connection was turned away. Each try costs the endpoint a handshake, so after a few failures all
+    /// senders together try half as often as they may call.
+    pub fn crowded(&mut self, senders: f64, jitter: f64, now: Ns) {
+        let interval = if self.rate() > 0.0 { 2e9 * senders / self.rate() } else { f64::INFINITY };
+        let pause = ((CONTROL_PERIOD << self.crowded.min(6)) as f64).min(interval.max(CONTROL_PERIOD as f64));
         self.crowded += 1;
-        self.not_before = self.not_before.max(now + (back * jitter) as Ns);
+        self.paused_until = self.paused_until.max(now + (pause * jitter) as Ns);
     }
 
-    /// When the pace allows the next call. `ramp`: what a cold route may get.
-    pub fn paced(&mut self, ramp: f64, fair: f64, now: Ns) -> Ns {
+    /// When the rate allows the next call; a cold route gets no more than `warm_up_rate`.
+    pub fn next_call_at(&mut self, warm_up_rate: f64, fair: f64, now: Ns) -> Ns {
         let limit = self.rate();
-        let mut rate = if limit > 0.0 { limit * self.share_now(now, fair) } else { f64::INFINITY };
+        let mut rate = if limit > 0.0 { limit * self.current_share(now, fair) } else { f64::INFINITY };
         let mut burst = burst(rate);
         if self.cold {
-            (rate, burst) = (rate.min(ramp), 1.0);
+            (rate, burst) = (rate.min(warm_up_rate), 1.0);
         }
         if rate.is_infinite() {
-            // No debt from a time without a limit: it would keep a cold route closed long after its outage.
-            self.bucket = Bucket::of(1.0, now);
+            // Without a limit no debt may build up: it would block a cold route long after its outage.
+            self.bucket = Bucket::new(1.0, now);
             return now;
         }
-        self.bucket.fill(rate, burst, now)
+        self.bucket.refill(rate, burst, now)
     }
 
-    /// Whether it is as if it were made anew, listed long ago: open, warm, with all of its limit for this
-    /// sender. Refusals and failures in a row, and those for want of a place, are none over such a time
-    /// (`KEEP` at least since the last call); a doubt stays, as only a trial can tell.
-    pub fn is_at_rest(&self, cold: Ns, fair: f64, now: Ns) -> bool {
-        let open = !self.doubt && self.wait_until.max(self.not_before) <= now;
+    /// Whether the route equals a new one: open, warm, with the full limit. Consecutive failures don't count
+    /// any more, as the last call is at least `RETENTION` ago; doubt does, as only a trial ends it.
+    pub fn is_at_rest(&self, warm_up: Ns, fair: f64, now: Ns) -> bool {
+        let is_open = !self.doubt && self.wait_until.max(self.paused_until) <= now;
         let rate = self.rate();
-        let full = rate <= 0.0 || self.bucket.is_full(rate, burst(rate), now);
-        // Once warm it begins with an equal share: that is for work that stood, and past in as long again.
-        let warm = self.last_failure.saturating_add(cold).saturating_add(KEEP) <= now;
-        let whole = self.share_now(now, fair) >= 1.0 && self.served.aged(now) < MEASURED;
-        open && full && warm && whole
+        let is_full = rate <= 0.0 || self.bucket.is_full(rate, burst(rate), now);
+        // After warming up it starts with the fair share, for queued messages; that is over by `RETENTION`.
+        let is_warm = self.last_failure.saturating_add(warm_up).saturating_add(RETENTION) <= now;
+        let full_share = self.current_share(now, fair) >= 1.0 && self.served.weight_at(now) < MIN_WEIGHT;
+        is_open && is_full && is_warm && full_share
     }
 }
--- a/crates/policy/src/rules/queue.rs
+++ b/crates/policy/src/rules/queue.rs
@@ -1,158 +1,156 @@
-//! What is held: taking on, waiting, and the final answers to what is given up.
+//! Held messages: accepting them, and giving up those that have no time or no room left.
 use super::*;
 
-/// The paper's admission wait: this or 10% of the expected run time, whichever is longer.
-const ADMISSION: Ns = 100 * MS;
-/// Share of the room that may be held before the admission wait counts.
-const ROOM: f64 = 0.9;
+/// The paper's admission wait: this or 10% of the expected latency, whichever is longer.
+const ADMISSION_WAIT: Ns = 100 * MS;
+/// Share of `max_open` above which messages are refused after the admission wait.
+const OPEN_SHARE: f64 = 0.9;
 
 impl Sender {
-    pub(super) fn take(&mut self, message: Message) {
+    pub(super) fn accept(&mut self, message: Message) {
         if self.messages.contains_key(&message.id) || message.class >= self.cfg.classes.len() {
             return;
         }
         let now = self.now;
         let end = now + message.time_left.clamp(0, self.cfg.classes[message.class].deadline);
-        let held = Held { message, arrived: now, end, attempts: Vec::new(), over: false, found: false };
-        self.key(&message).into_iter().for_each(|key| self.keys.join(key, message.id));
+        let held =
+            Held { message, arrived: now, end, attempts: Vec::new(), finished: false, recovered: false };
+        self.key(&message).into_iter().for_each(|key| self.key_queues.push(key, message.id));
         self.messages.insert(message.id, held);
-        self.open += 1;
-        self.dest(message.dest).classes[message.class].arrivals.book(now, 1.0);
+        self.open_messages += 1;
+        self.dest_mut(message.dest).classes[message.class].arrivals.record(now, 1.0);
         self.hold(message.id);
     }
 
-    /// Takes up what an earlier process left: attempts used count on, and one that was out then may have run.
-    pub(super) fn resume(&mut self, message: Message, past: &[PastAttempt], out: &mut Vec<Action>) {
-        self.take(message);
+    /// Takes over a message of an earlier process with its attempts, which count; some may have run.
+    pub(super) fn resume(&mut self, message: Message, past: &[PastAttempt], actions: &mut Vec<Action>) {
+        self.accept(message);
         let Some(held) = self.messages.get_mut(&message.id) else { return };
-        held.found = true;
-        for p in past {
+        held.recovered = true;
+        for attempt in past {
             let zone =
-                p.endpoint.and_then(|e| self.listing.get(e)).map_or(usize::MAX, |listed| listed.zone());
-            let endpoint = p.endpoint.unwrap_or(EndpointId::MAX);
-            let (call, sent, may_have_run) = (u64::MAX, p.sent, p.may_have_run);
-            held.attempts.push(Attempt { endpoint, zone, call, sent, out: false, may_have_run });
+                attempt.endpoint.and_then(|e| self.listing.get(e)).map_or(usize::MAX, |listed| listed.zone());
+            let endpoint = attempt.endpoint.unwrap_or(EndpointId::MAX);
+            let (call, sent, may_have_run) = (u64::MAX, attempt.sent, attempt.may_have_run);
+            held.attempts.push(Attempt { endpoint, zone, call, sent, open: false, may_have_run });
         }
-        if past.iter().any(|p| p.may_have_run) {
-            self.rest_key(&message);
+        if past.iter().any(|attempt| attempt.may_have_run) {
+            self.pause_key(&message);
         }
-        self.end_if_hopeless(message.id, out);
+        self.check_expiry(message.id, actions);
     }
 
-    /// Holds a message until its turn.
     pub(super) fn hold(&mut self, id: MsgId) {
         let held = &self.messages[&id];
-        let (dest_id, end) = (held.message.dest, self.last_call(held));
-        let over = self.evacuates || self.waits_until(dest_id) > end;
-        self.next_end = self.next_end.min(if over { LONG_AGO } else { end });
+        let (dest_id, end) = (held.message.dest, self.latest_start(held));
+        let is_hopeless = self.evacuating || self.waiting_until(dest_id) > end;
+        self.next_expiry = self.next_expiry.min(if is_hopeless { LONG_AGO } else { end });
         let dest = self.dests.get_mut(&dest_id).expect("a held message's destination is known");
         if self.active.insert(dest_id) {
             dest.choose_cap(&self.cfg, self.now);
         }
         dest.held.insert(id);
-        self.due(dest_id, LONG_AGO);
+        self.schedule_dest(dest_id, LONG_AGO);
     }
 
-    /// Ends the book on a message that is over; it stays while attempts are out, to hold its key's turn.
-    pub(super) fn close(&mut self, id: MsgId) {
+    /// Marks a message as finished; while it has open attempts it stays, to block its key.
+    pub(super) fn finish(&mut self, id: MsgId) {
         let Some(held) = self.messages.get_mut(&id) else { return };
-        let (message, out) = (held.message, held.out());
-        if !std::mem::replace(&mut held.over, true) {
-            self.open -= 1;
-            self.dest(message.dest).held.remove(&id);
+        let (message, in_flight) = (held.message, held.is_in_flight());
+        if !std::mem::replace(&mut held.finished, true) {
+            self.open_messages -= 1;
+            self.dest_mut(message.dest).held.remove(&id);
         }
-        if !out {
+        if !in_flight {
             self.messages.remove(&id);
-            self.key(&message).into_iter().for_each(|key| self.keys.leave(key, id, self.now));
+            self.key(&message).into_iter().for_each(|key| self.key_queues.remove(key, id, self.now));
         }
     }
 
-    /// Worth of a message if it were delivered at a time.
-    pub(super) fn worth(&self, held: &Held, at: Ns) -> f64 {
+    pub(super) fn worth_at(&self, held: &Held, at: Ns) -> f64 {
         let class = &self.cfg.classes[held.message.class];
         class.worth_with_time_left(held.end - at, held.message.cost, self.cfg.worth_halves)
     }
 
-    /// When a message's time left no longer covers a call.
-    fn last_call(&self, held: &Held) -> Ns {
+    /// The latest time at which a call of a message can be expected to end in time.
+    fn latest_start(&self, held: &Held) -> Ns {
         let latency = self.dests[&held.message.dest].latency.mean() as Ns;
         held.end - (latency / 2).min(self.cfg.classes[held.message.class].target / 4).max(2 * self.cfg.tick)
     }
 
-    /// Ends all that is held, and calls off what is out: it ends as its outcome comes.
-    pub(super) fn evacuate(&mut self, goes: bool, out: &mut Vec<Action>) {
-        self.evacuates = goes;
-        if goes {
-            self.next_end = self.now;
-            self.calls.keys().copied().collect::<Vec<_>>().iter().for_each(|&call| self.call_off(call, out));
+    /// Gives up all held messages and cancels all calls; their messages end with the outcomes.
+    pub(super) fn evacuate(&mut self, leaving: bool, actions: &mut Vec<Action>) {
+        self.evacuating = leaving;
+        if leaving {
+            self.next_expiry = self.now;
+            self.calls.keys().copied().collect::<Vec<_>>().iter().for_each(|&id| self.cancel(id, actions));
         }
     }
 
-    /// Looks through all held work for what has no time left.
-    pub(super) fn end_hopeless(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn expire_held(&mut self, actions: &mut Vec<Action>) {
         let held = self.active.iter().flat_map(|d| self.dests[d].held.iter().copied()).collect::<Vec<_>>();
-        self.next_end = held.into_iter().map(|id| self.end_if_hopeless(id, out)).min().unwrap_or(Ns::MAX);
+        self.next_expiry = held.into_iter().map(|id| self.check_expiry(id, actions)).min().unwrap_or(Ns::MAX);
     }
 
-    /// Ends a held message past that, or that may not go again; tells when it will be due.
-    pub(super) fn end_if_hopeless(&mut self, id: MsgId, out: &mut Vec<Action>) -> Ns {
+    /// Gives up a held message that has no time left or may not be sent again; returns its latest start.
+    pub(super) fn check_expiry(&mut self, id: MsgId, actions: &mut Vec<Action>) -> Ns {
         let held = &self.messages[&id];
         let stuck = held.attempts.first().is_some_and(|first| !self.allows(held, Some(first.endpoint)));
-        let at = self.last_call(held);
-        let late = at <= self.now || self.waits_until(held.message.dest) > at;
-        if stuck || late || self.evacuates {
-            self.give_up(id, late, out);
+        let at = self.latest_start(held);
+        let late = at <= self.now || self.waiting_until(held.message.dest) > at;
+        if stuck || late || self.evacuating {
+            self.give_up(id, late, actions);
         }
         at
     }
 
-    /// Until when every endpoint that takes new work has told to wait. A wait binds all that is sent there:
-    /// what can't outlast it is over as soon as it is told.
-    fn waits_until(&self, id: DestId) -> Ns {
-        self.open_routes(id).map(|r| r.wait_until).min().unwrap_or(LONG_AGO)
+    /// Until when every usable endpoint has asked to wait. A message that expires before that has no chance,
+    /// and is given up as soon as the wait is known.
+    fn waiting_until(&self, id: DestId) -> Ns {
+        self.usable_routes(id).map(|r| r.wait_until).min().unwrap_or(LONG_AGO)
     }
 
-    /// `late`: for lack of time.
-    fn give_up(&mut self, id: MsgId, late: bool, out: &mut Vec<Action>) {
+    /// Refuses a message, or fails it if it may have run. `late`: for lack of time.
+    fn give_up(&mut self, id: MsgId, late: bool, actions: &mut Vec<Action>) {
         let held = &self.messages[&id];
-        out.push(if self.allows(held, None) {
+        actions.push(if self.allows(held, None) {
             Action::Refuse { id, backoff: self.backoff(held.message.dest), late }
         } else {
             Action::Fail { id, late }
         });
-        self.close(id);
+        self.finish(id);
     }
 
-    /// When to hand in again what is refused: room comes with the destination's next turn, behind any wait.
+    /// After which time to submit a refused message again: the destination's next turn, behind any wait.
     pub fn backoff(&self, dest: DestId) -> Ns {
-        let turn = self.dests.get(&dest).map_or(0.0, |d| d.turn_every(self.now));
-        let wait = self.waits_until(dest).saturating_sub(self.now);
-        (turn as Ns).max(wait).min(self.cfg.max_retry_after).max(ADMISSION)
+        let turn = self.dests.get(&dest).map_or(0.0, |d| d.turn_interval(self.now));
+        let wait = self.waiting_until(dest).saturating_sub(self.now);
+        (turn as Ns).max(wait).min(self.cfg.max_retry_after).max(ADMISSION_WAIT)
     }
 
-    /// Past a bound on what is held, refuses what waited longer than the admission wait, least worth first.
-    /// What a restart has found keeps its turn: who comes after it is refused in its place.
-    pub(super) fn make_room(&mut self, out: &mut Vec<Action>) {
-        let over = self.open.saturating_sub((self.cfg.max_open as f64 * ROOM) as usize);
-        if over == 0 {
+    /// With too many open messages, refuses those held for longer than the admission wait, least worth first.
+    /// Messages recovered by a restart keep their turn; later ones are refused in their place.
+    pub(super) fn shed_excess(&mut self, actions: &mut Vec<Action>) {
+        let excess = self.open_messages.saturating_sub((self.cfg.max_open as f64 * OPEN_SHARE) as usize);
+        if excess == 0 {
             return;
         }
-        let mut order: Vec<(f64, MsgId)> = Vec::new();
+        let mut ranked: Vec<(f64, MsgId)> = Vec::new();
         for dest in self.active.iter().map(|id| &self.dests[id]) {
-            let wait = ADMISSION.max((dest.latency.mean() / 10.0) as Ns);
-            // By its turn, what is far back in a slow queue has little left, whatever its worth: a sick
-            // destination's work must not keep the well ones' out of the room.
-            let every = dest.turn_every(self.now);
-            for (place, &id) in dest.held.iter().enumerate() {
+            let wait = ADMISSION_WAIT.max((dest.latency.mean() / 10.0) as Ns);
+            // Far back in a slow queue a message has little worth left by its turn. So a failing
+            // destination's messages don't crowd out those of healthy ones.
+            let every = dest.turn_interval(self.now);
+            for (position, &id) in dest.held.iter().enumerate() {
                 let held = &self.messages[&id];
-                if self.now - held.arrived > wait && !held.found && self.allows(held, None) {
-                    order.push((self.worth(held, self.now + ((place + 1) as f64 * every) as Ns), id));
+                if self.now - held.arrived > wait && !held.recovered && self.allows(held, None) {
+                    ranked.push((self.worth_at(held, self.now + ((position + 1) as f64 * every) as Ns), id));
                 }
             }
         }
-        order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, id) in order.into_iter().take(over) {
-            self.give_up(id, false, out);
+        ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        for (_, id) in ranked.into_iter().take(excess) {
+            self.give_up(id, false, actions);
         }
     }
 }
--- a/crates/policy/src/rules/retries.rs
+++ b/crates/policy/src/rules/retries.rs
@@ -1,15 +1,15 @@
-//! Whether a message may go, go again or be handed back: no effect may happen twice, none out of its order.
+//! Whether a message may be sent, sent again or refused: no effect may happen twice or out of order.
 use super::*;
 
 impl Sender {
-    /// The one guard of every further send (`to`) and refusal (`None`): no effect may happen twice.
+    /// Guards every send to an endpoint (`to`) and every refusal (`None`): no effect may happen twice.
     pub(super) fn allows(&self, held: &Held, to: Option<EndpointId>) -> bool {
         let class = &self.cfg.classes[held.message.class];
         let spent = held.attempts.len() >= class.max_attempts as usize;
-        if to.is_some() && (held.over || spent || held.out() && !self.cfg.may_duplicate) {
+        if to.is_some() && (held.finished || spent || held.is_in_flight() && !self.cfg.may_duplicate) {
             return false;
         }
-        let mut may_have_run = held.attempts.iter().filter(|a| a.out || a.may_have_run);
+        let mut may_have_run = held.attempts.iter().filter(|a| a.open || a.may_have_run);
         match (class.effect, to) {
             (Effect::Safe, _) => true,
             (Effect::Keyed, None) if class.scope == DedupScope::All => true,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Until when a message may go again if its attempts so far may all have run.
+    /// Until when a message may be sent again, if all its attempts so far may have run.
     pub(super) fn resend_until(&self, held: &Held) -> Ns {
         let class = &self.cfg.classes[held.message.class];
         let first = held.attempts.iter().find(|a| a.may_have_run).map_or(self.now, |a| a.sent);
@@ -36,20 +36,20 @@
         }
     }
 
-    /// The key by which a message has its order, if its class keeps one.
+    /// The key within which a message keeps its order, if its class asks for that.
     pub(super) fn key(&self, message: &Message) -> Option<u64> {
         message.key.filter(|_| self.cfg.classes[message.class].in_order)
     }
 
-    /// Order by key: only the oldest of a key may go, and after one that may still run the key rests.
+    /// Order by key: only its oldest message may be sent; after an attempt that may still run the key pauses.
     pub(super) fn has_turn(&self, held: &Held) -> bool {
         let Some(key) = self.key(&held.message) else { return true };
-        let first = self.keys.first_after(key, held.message.id);
-        first.is_some_and(|rested| rested <= self.now || !held.attempts.is_empty())
+        let first = self.key_queues.turn_starts_at(key, held.message.id);
+        first.is_some_and(|starts_at| starts_at <= self.now || !held.attempts.is_empty())
     }
 
-    pub(super) fn rest_key(&mut self, message: &Message) {
+    pub(super) fn pause_key(&mut self, message: &Message) {
         let until = self.now + self.cfg.key_pause;
-        self.key(message).into_iter().for_each(|key| self.keys.rest(key, until));
+        self.key(message).into_iter().for_each(|key| self.key_queues.pause(key, until));
     }
 }
--- a/crates/policy/src/agenda.rs
+++ b/crates/policy/src/schedule.rs
@@ -1,15 +1,15 @@
-//! What is due when: one time for each key, read in the order of times. Nothing here knows of senders.
+//! Due times: one for each key, read in order of time. Independent of senders.
 use crate::api::Ns;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug, Default)]
-pub struct Agenda<K> {
+pub struct Schedule<K> {
     times: BTreeMap<K, Ns>,
     order: BTreeSet<(Ns, K)>,
 }
 
-impl<K: Copy + Ord> Agenda<K> {
-    /// Sets the time of a key in place of the one before; None takes it off.
+impl<K: Copy + Ord> Schedule<K> {
+    /// Sets the time of a key, replacing any earlier one; `None` removes the key.
     pub fn set(&mut self, key: K, at: Option<Ns>) {
         let before = match at {
             Some(at) => self.times.insert(key, at),
@@ -20,11 +20,11 @@
     }
 
     /// The earliest time.
-    pub fn first(&self) -> Option<Ns> {
+    pub fn earliest(&self) -> Option<Ns> {
         self.order.first().map(|first| first.0)
     }
 
-    /// The keys whose time has come, the earliest first; of equal times the least key.
+    /// The keys that are due, in order of time, then of key.
     pub fn due(&self, now: Ns) -> impl Iterator<Item = K> + '_ {
         self.order.iter().take_while(move |(at, _)| *at <= now).map(|&(_, key)| key)
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,17 +1,17 @@
-//! The settings object, read into `api::Settings` for both programs. Unknown keys are skipped.
+//! Reads the settings object into `api::Settings`, for both programs. Unknown keys are ignored.
 use crate::api::*;
 use serde_json::Value;
 
-struct At<'a> {
+struct Field<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> At<'a> {
-    fn get(&self, key: &str) -> At<'a> {
+impl<'a> Field<'a> {
+    fn get(&self, key: &str) -> Field<'a> {
         static NULL: Value = Value::Null;
         let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
-        At { value: self.value.get(key).unwrap_or(&NULL), path }
+        Field { value: self.value.get(key).unwrap_or(&NULL), path }
     }
 
     fn fail<T>(&self, what: &str) -> Result<T, String> {
@@ -43,7 +43,7 @@
         }
     }
 
-    fn word(&self) -> Result<&'a str, String> {
+    fn text(&self) -> Result<&'a str, String> {
         match self.value {
             Value::String(s) => Ok(s),
             Value::Null => self.fail("is missing"),
@@ -51,48 +51,48 @@
         }
     }
 
-    fn list(&self) -> Result<Vec<At<'a>>, String> {
+    fn list(&self) -> Result<Vec<Field<'a>>, String> {
         match self.value {
             Value::Null => Ok(Vec::new()),
             Value::Array(items) => Ok(items
                 .iter()
                 .enumerate()
-                .map(|(i, value)| At { value, path: format!("{}[{i}]", self.path) })
+                .map(|(i, value)| Field { value, path: format!("{}[{i}]", self.path) })
                 .collect()),
             _ => self.fail("is not a list"),
         }
     }
 }
 
-/// What a program needs besides the module's settings.
+/// What a program needs in addition to `api::Settings`.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
-    /// Where x0 and x1 stand in a load report.
+    /// The columns of x0 (remaining allowance) and x1 (limit) in a load report.
     pub x0: Option<usize>,
     pub x1: Option<usize>,
-    /// Names in the order of the module's numbers.
+    /// Names, indexed by the numbers that the decision module uses.
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
-fn names(items: Vec<At>, key: Option<&str>) -> Vec<String> {
-    let name = |i: &At| key.map_or(i.value, |k| i.get(k).value).as_str().unwrap_or_default().to_string();
+fn names(items: Vec<Field>, key: Option<&str>) -> Vec<String> {
+    let name = |i: &Field| key.map_or(i.value, |k| i.get(k).value).as_str().unwrap_or_default().to_string();
     items.iter().map(name).collect()
 }
 
-fn classes(root: &At) -> Result<Vec<Class>, String> {
+fn classes(root: &Field) -> Result<Vec<Class>, String> {
     let mut classes = Vec::new();
     let max_attempts = root.get("Limits").get("MaxAttempts").number(1.0)? as u32;
     for c in root.get("Services").list()? {
-        let effect = match c.get("Effect").word()? {
+        let effect = match c.get("Effect").text()? {
             "safe" => Effect::Safe,
             "keyed" => Effect::Keyed,
             "unsafe" => Effect::Unsafe,
             _ => return c.get("Effect").fail("is none of safe, keyed, unsafe"),
         };
-        let scope = match c.get("DedupScope").word().unwrap_or("all") {
+        let scope = match c.get("DedupScope").text().unwrap_or("all") {
             "all" | "" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Endpoint,
@@ -115,7 +115,7 @@
     Ok(classes)
 }
 
-fn kinds(root: &At, family: &At) -> Result<Vec<Kind>, String> {
+fn kinds(root: &Field, family: &Field) -> Result<Vec<Kind>, String> {
     let batches = family.get("KindBatch").list()?;
     let separate = family.get("SeparateRoutes").list()?;
     let kinds = batches.len().max(separate.len()).max(root.get("Kinds").list()?.len());
@@ -130,7 +130,7 @@
 }
 
 pub fn read(value: &Value) -> Result<(Settings, HostSettings), String> {
-    let root = At { value, path: String::new() };
+    let root = Field { value, path: String::new() };
     if !value.is_object() {
         return Err("not an object".to_string());
     }
@@ -148,7 +148,7 @@
         .iter()
         .map(|t| Ok(Tenant { quota_per_s: t.get("QuotaPerS").number_or(0.0, f64::MAX)? }))
         .collect::<Result<Vec<_>, String>>()?;
-    let weights = root.get("Weights").word().unwrap_or("silent");
+    let weights = root.get("Weights").text().unwrap_or("silent");
     let fields = root.get("Feedback").get("Fields").list()?;
     let column = |name: &str| fields.iter().position(|f| f.value.as_str() == Some(name));
     let fees = family.get("RouteFee").list()?;
@@ -157,7 +157,7 @@
         kinds,
         tenants,
         over_share_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
-        worth_halves: family.get("Decay").word().unwrap_or("line") == "halves",
+        worth_halves: family.get("Decay").text().unwrap_or("line") == "halves",
         n_instances: root.get("NInstances").number(1.0)? as usize,
         zone: root.get("Zone").number_or(0.0, 0.0)? as usize,
         tick: root.get("TickNs").number(0.0)? as Ns,
