--- a/crates/policy/benches/destinations.rs
+++ b/crates/policy/benches/destinations.rs
@@ -1,5 +1,5 @@
-//! What destinations cost the decisions: listed only, in use, idle again, gone; a changed entry; a message.
-//! Prints a line for each; all times are of the processor's clock in this one thread, under virtual time.
+//! Measures the cost of destinations: listed only, in use, idle again, removed; of a changed entry; of a
+//! message. Prints a line for each. Times are of the processor clock in this one thread, under virtual time.
 #[path = "../tests/common/mod.rs"]
 mod common;
 #[path = "../tests/common/counting.rs"]
@@ -16,7 +16,7 @@
 
 const DESTS: u64 = 140_000;
 const ENDPOINTS: u64 = 240_000;
-const T0: Ns = 1_000 * SECOND;
+const START: Ns = 1_000 * SECOND;
 
 fn cfg() -> Settings {
     let base = settings();
@@ -24,7 +24,7 @@
     Settings { classes, slots: 400, max_open: 20_000, n_instances: 510, ..base }
 }
 
-/// One or two endpoints for each destination, as many as there are in all.
+/// One or two endpoints for each destination.
 fn list(dests: u64, endpoints: u64) -> Vec<Entry> {
     (0..endpoints).map(|e| entry(e as EndpointId, e % dests, 0)).collect()
 }
@@ -41,10 +41,10 @@
 impl Run {
     fn new() -> Run {
         let (sender, actions) = (Sender::new(cfg(), 7), Vec::new());
-        Run { sender, now: T0, actions, ends: BTreeMap::new(), next: 0, sent: 0 }
+        Run { sender, now: START, actions, ends: BTreeMap::new(), next: 0, sent: 0 }
     }
 
-    fn give(&mut self, events: &[Event]) {
+    fn handle(&mut self, events: &[Event]) {
         self.actions.clear();
         self.sender.handle(self.now, events, &mut self.actions);
         for action in &self.actions {
@@ -56,7 +56,7 @@
     }
 
     fn list(&mut self, entries: Vec<Entry>) {
-        self.give(&[Event::List { complete: true, entries }]);
+        self.handle(&[Event::List { complete: true, entries }]);
     }
 
     /// A message a millisecond, to each destination in turn; each is served after 20 ms.
@@ -66,7 +66,7 @@
             self.end();
             let message = common::message(self.next, dest(i), (i % 2) as usize);
             self.next += 1;
-            self.give(&[Event::Message(message)]);
+            self.handle(&[Event::Message(message)]);
         }
     }
 
@@ -77,20 +77,20 @@
             }
             self.ends.remove(&(at, id));
             let took = 20 * MS;
-            self.give(&[Event::AttemptEnd(AttemptEnd {
+            self.handle(&[Event::AttemptEnd(AttemptEnd {
                 took,
                 ..common::end(id, 0, endpoint, Outcome::Served)
             })]);
         }
     }
 
-    /// Nothing comes but timers.
-    fn pass(&mut self, span: Ns) {
+    /// Advances the clock with timers only.
+    fn advance(&mut self, span: Ns) {
         let until = self.now + span;
         while self.now < until {
             self.now += 100 * MS;
             self.end();
-            self.give(&[Event::Timer]);
+            self.handle(&[Event::Timer]);
         }
     }
 }
@@ -106,7 +106,7 @@
     let whole = Event::List { complete: true, entries };
     let before = MEMORY.held();
     let start = Instant::now();
-    run.give(std::slice::from_ref(&whole));
+    run.handle(std::slice::from_ref(&whole));
     println!(
         "listed {DESTS} of {ENDPOINTS} endpoints: {:.1} MB, {:?}",
         mb(MEMORY.held() - before),
@@ -114,29 +114,29 @@
     );
     MEMORY.most();
     let start = Instant::now();
-    run.give(std::slice::from_ref(&whole));
+    run.handle(std::slice::from_ref(&whole));
     println!("the same list again: {:?}, peak {:.1} MB above", start.elapsed(), mb(MEMORY.most() - before));
     drop(whole);
     let listed = MEMORY.held();
     run.messages(10_000, |i| i * 14);
-    run.pass(SECOND);
+    run.advance(SECOND);
     println!("10,000 of them used: {:.1} MB more", mb(MEMORY.held().saturating_sub(listed)));
-    run.pass(50 * SECOND);
+    run.advance(50 * SECOND);
     println!("50 s later: {:.1} MB more", mb(MEMORY.held().saturating_sub(listed)));
-    run.pass(100 * SECOND);
+    run.advance(100 * SECOND);
     println!("150 s later: {:.1} MB more", mb(MEMORY.held().saturating_sub(listed)));
     run.list(list(10, 10));
-    run.pass(120 * SECOND);
+    run.advance(120 * SECOND);
     println!("the list has shrunk to 10: {:.3} MB in all", mb(MEMORY.held() - base));
 }
 
-/// Each of these changes one entry that was there before; the median of so many, and allocations for one.
+/// Measures changes of one listed entry: the median time of 1,000, and the mean number of allocations.
 fn change(dests: u64, endpoints: u64, used: bool) {
     let mut run = Run::new();
     run.list(list(dests, endpoints));
     if used {
         run.messages(20_000, |i| i % dests);
-        run.pass(SECOND);
+        run.advance(SECOND);
     }
     let mut times = Vec::new();
     let calls = MEMORY.calls();
@@ -147,7 +147,7 @@
         let entry = Entry { condition, ..entry(at as EndpointId, at % dests, 0) };
         let event = [Event::List { complete: false, entries: vec![entry] }];
         let start = Instant::now();
-        run.give(&event);
+        run.handle(&event);
         times.push(start.elapsed());
     }
     let calls = (MEMORY.calls() - calls) as f64 / times.len() as f64;
@@ -170,7 +170,7 @@
     );
 }
 
-/// Those named, or all.
+/// Runs the measurements that are named as arguments, or all.
 fn main() {
     let only: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
     let wants = |part: &str| only.is_empty() || only.iter().any(|o| o == part);
--- a/crates/policy/src/caps_tests.rs
+++ b/crates/policy/src/caps_tests.rs
@@ -1,10 +1,11 @@
-//! The choice of a cap against its plain formula, which keeps a figure for every level and scores each.
+//! Checks the choice of a cap against a direct implementation of the formula, which keeps statistics for
+//! every level and scores each of them.
 use crate::api::*;
 use crate::rng::Rng;
 use crate::rules::{Dest, Stats, MIN_WEIGHT};
 
-/// The rule as the paper has it, over all levels.
-struct Plain {
+/// The rule of the paper, over all levels.
+struct DirectFormula {
     cap: usize,
     classes: Vec<(Stats, Vec<Stats>)>,
 }
@@ -13,10 +14,10 @@
     (cfg.slots * 3 / 4).max(1)
 }
 
-impl Plain {
-    fn new(cfg: &Settings) -> Plain {
+impl DirectFormula {
+    fn new(cfg: &Settings) -> DirectFormula {
         let seen = (Stats::default(), vec![Stats::default(); top(cfg) + 1]);
-        Plain { cap: top(cfg), classes: vec![seen; cfg.classes.len()] }
+        DirectFormula { cap: top(cfg), classes: vec![seen; cfg.classes.len()] }
     }
 
     fn reset(&mut self, old: &Settings, new: &Settings) {
@@ -60,7 +61,7 @@
 struct Draws(Rng);
 
 impl Draws {
-    /// From 0, under `n`.
+    /// A number from 0 to `n` - 1.
     fn under(&mut self, n: usize) -> usize {
         (self.0.uniform() * n as f64) as usize
     }
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn the_cap_is_that_of_the_plain_formula_whatever_is_booked() {
+fn the_cap_equals_that_of_the_direct_formula() {
     const OUTCOMES: [Outcome; 6] = [
         Outcome::Served,
         Outcome::Served,
@@ -104,22 +105,21 @@
         let mut draws = Draws(Rng::new(seed));
         let classes = (0..1 + draws.under(4)).map(|_| draws.class()).collect();
         let mut cfg = Settings { classes, slots: draws.slots(), ..Settings::default() };
-        let (mut dest, mut plain, mut now) = (Dest::new(&cfg), Plain::new(&cfg), 1_000 * SECOND);
+        let (mut dest, mut direct, mut now) = (Dest::new(&cfg), DirectFormula::new(&cfg), 1_000 * SECOND);
         for step in 0..400 {
-            // Mostly close to each other, and now and then so far apart that figures fade, or weigh nothing
-            // at all.
+            // Mostly close together, but now and then so far apart that measurements decay or weigh nothing.
             now += draws.one_of(&[0, MS, 50 * MS, 50 * MS, 200 * MS]);
             if draws.under(60) == 0 {
                 now += draws.one_of(&[5 * SECOND, 15 * SECOND, 120 * SECOND, 1_000 * SECOND]);
             }
             let class = draws.under(cfg.classes.len());
-            // With equal shares levels come out exactly equal.
+            // With equal shares, scores of levels are exactly equal.
             let arrivals = if seed % 3 == 0 { 0..cfg.classes.len() } else { class..class + draws.under(2) };
             for class in arrivals {
                 dest.classes[class].arrivals.record(now, 1.0);
-                plain.classes[class].0.record(now, 1.0);
+                direct.classes[class].0.record(now, 1.0);
             }
-            // As a change of the slots leaves it, a call may have been sent at a level above the highest.
+            // After a change of slots, a call may have been sent at a level above the maximum.
             let level = 1 + draws.under(top(&cfg) + 1);
             let (outcome, reused_connection) = (draws.one_of(&OUTCOMES), draws.under(10) == 0);
             let took = draws.one_of(&[100 * MS, 900 * MS, 1_500 * MS, 2_500 * MS, 4_000 * MS]);
@@ -139,17 +139,17 @@
             let tells = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
             if tells && !reused_connection {
                 let x = if outcome == Outcome::Served { took } else { cfg.classes[class].target };
-                plain.classes[class].1[level.min(top(&cfg))].record(now, x as f64);
+                direct.classes[class].1[level.min(top(&cfg))].record(now, x as f64);
             }
             dest.choose_cap(&cfg, now);
-            plain.choose(&cfg, now);
-            assert_eq!(dest.cap, plain.cap, "seed {seed}, step {step}");
+            direct.choose(&cfg, now);
+            assert_eq!(dest.cap, direct.cap, "seed {seed}, step {step}");
             *caps.entry(dest.cap).or_default() += 1;
             if draws.under(100) == 0 {
                 let mut new = Settings { slots: draws.slots(), ..cfg.clone() };
                 new.classes[class] = draws.class();
                 dest.reset(&cfg, &new);
-                plain.reset(&cfg, &new);
+                direct.reset(&cfg, &new);
                 cfg = new;
             }
         }
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn levels_that_were_never_measured_take_no_room_and_faded_ones_give_theirs_up() {
+fn unmeasured_levels_take_no_memory_and_decayed_ones_are_freed() {
     let mut levels = crate::levels::Levels::<3_000>::default();
     let measured = |levels: &crate::levels::Levels<3_000>, now| levels.nearest(now, 0.0, 300).count();
     let first = 1_000 * SECOND;
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The cap alone, as senders with a queue of their own use it.
+//! The cap alone, as used by senders with a queue of their own.
 use policy::admission::{Admission, ClassDeadline};
 use policy::api::Outcome;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_level_at_which_the_deadline_is_missed_is_left_and_found_again() {
+fn the_cap_leaves_a_level_that_misses_the_deadline_and_returns_to_it() {
     let mut admission = Admission::new(8, &CLASSES);
     let mut now = 0;
     let mut play = |admission: &mut Admission, slow_above: usize, rounds: usize| {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn quick_errors_are_no_quick_answers() {
+fn quick_errors_do_not_count_as_low_latency() {
     let mut admission = Admission::new(8, &CLASSES);
     for i in 1..200 {
         let now = i * 20 * MS;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn other_slots_keep_what_was_measured() {
+fn a_change_of_slots_keeps_the_cap_at_its_maximum() {
     let mut admission = Admission::new(8, &CLASSES);
     admission.reconfigure(4, &CLASSES);
     assert_eq!((admission.cap(), admission.slots()), (3, 4));
--- a/crates/policy/tests/common/counting.rs
+++ b/crates/policy/tests/common/counting.rs
@@ -1,4 +1,4 @@
-//! An allocator that counts, for what memory is held and how often it is asked for.
+//! An allocator that counts the bytes held and the allocations.
 #![allow(dead_code)]
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -19,7 +19,7 @@
         self.held.load(Relaxed)
     }
 
-    /// The most bytes held at once since the last call.
+    /// The maximum of bytes held since the last call of this function.
     pub fn most(&self) -> usize {
         self.most.swap(self.held(), Relaxed)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-// SAFETY: all is left to the system's allocator; only the sizes are added up.
+// SAFETY: all requests go to the system allocator; only sizes are added up.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         self.calls.fetch_add(1, Relaxed);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A small stand for the module: settings, one sender, and the actions of its last call.
+//! A test harness: settings, one sender, and the actions of its last batch.
 #![allow(dead_code)]
 use policy::api::*;
 use policy::rules::Sender;
 
-pub const T0: Ns = 1_000 * SECOND;
+pub const START: Ns = 1_000 * SECOND;
 
 pub fn class(effect: Effect) -> Class {
     Class {
@@ -60,43 +60,43 @@
     AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None, reused_connection: false }
 }
 
-pub struct Stand {
+pub struct Harness {
     pub sender: Sender,
     pub now: Ns,
     pub actions: Vec<Action>,
 }
 
-impl Stand {
-    pub fn new(settings: Settings, entries: &[Entry]) -> Stand {
-        let mut stand = Stand { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
-        stand.give(vec![Event::List { complete: true, entries: entries.to_vec() }]);
-        stand
+impl Harness {
+    pub fn new(settings: Settings, entries: &[Entry]) -> Harness {
+        let mut harness = Harness { sender: Sender::new(settings, 7), now: START, actions: Vec::new() };
+        harness.handle(vec![Event::List { complete: true, entries: entries.to_vec() }]);
+        harness
     }
 
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         self.actions.clear();
         self.sender.handle(self.now, &events, &mut self.actions);
         self.actions.clone()
     }
 
-    /// Lets time pass in ticks, collecting all actions with their times.
-    pub fn pass(&mut self, span: Ns) -> Vec<(Ns, Action)> {
+    /// Advances the clock in ticks; returns all actions with their times.
+    pub fn advance(&mut self, span: Ns) -> Vec<(Ns, Action)> {
         let until = self.now + span;
         let mut all = Vec::new();
         while self.now < until {
             self.now += 5 * MS;
             let now = self.now;
-            all.extend(self.give(vec![Event::Timer]).into_iter().map(|a| (now, a)));
+            all.extend(self.handle(vec![Event::Timer]).into_iter().map(|a| (now, a)));
         }
         all
     }
 
-    pub fn take(&mut self, message: Message) -> Vec<Action> {
-        self.give(vec![Event::Message(message)])
+    pub fn submit(&mut self, message: Message) -> Vec<Action> {
+        self.handle(vec![Event::Message(message)])
     }
 
     pub fn end(&mut self, e: AttemptEnd) -> Vec<Action> {
-        self.give(vec![Event::AttemptEnd(e)])
+        self.handle(vec![Event::AttemptEnd(e)])
     }
 }
 
@@ -108,10 +108,10 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<Action> {
+pub fn final_actions(actions: &[Action]) -> Vec<Action> {
     actions.iter().copied().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
 }
 
-pub fn plain(timed: &[(Ns, Action)]) -> Vec<Action> {
+pub fn without_times(timed: &[(Ns, Action)]) -> Vec<Action> {
     timed.iter().map(|&(_, a)| a).collect()
 }
--- a/crates/policy/tests/forget.rs
+++ b/crates/policy/tests/forget.rs
@@ -1,206 +1,222 @@
-//! What is remembered of a destination comes with its first use and goes once nothing in it can matter: seen through
-//! the interface, where `Sender::standings` names each route that is remembered.
+//! Records of a destination are created on its first use and removed once they no longer affect any decision.
+//! `Sender::route_states` names each route that has records.
 mod common;
 use common::*;
 use policy::api::*;
 
-/// Time passes and nothing comes but timers.
-fn idle(s: &mut Stand, span: Ns) -> Vec<Action> {
-    let until = s.now + span;
+/// Advances the clock with timers only.
+fn advance_idle(harness: &mut Harness, span: Ns) -> Vec<Action> {
+    let until = harness.now + span;
     let mut all = Vec::new();
-    while s.now < until {
-        s.now += 100 * MS;
-        all.extend(s.give(vec![Event::Timer]));
+    while harness.now < until {
+        harness.now += 100 * MS;
+        all.extend(harness.handle(vec![Event::Timer]));
     }
     all
 }
 
-fn remembered(s: &Stand) -> Vec<DestId> {
-    s.sender.route_states(s.now).iter().map(|standing| standing.dest).collect()
+fn dests_with_records(harness: &Harness) -> Vec<DestId> {
+    harness.sender.route_states(harness.now).iter().map(|standing| standing.dest).collect()
 }
 
-/// So many messages of a class at once; tells which are sent in the same moment.
-fn burst(s: &mut Stand, first: MsgId, count: u64, dest: DestId, class: usize) -> Vec<(MsgId, EndpointId)> {
-    sends(&s.give((first..first + count).map(|id| Event::Message(message(id, dest, class))).collect()))
+/// Submits `count` messages of a class at once; returns those that are sent at once.
+fn submit_burst(
+    harness: &mut Harness,
+    first: MsgId,
+    count: u64,
+    dest: DestId,
+    class: usize,
+) -> Vec<(MsgId, EndpointId)> {
+    sends(
+        &harness.handle((first..first + count).map(|id| Event::Message(message(id, dest, class))).collect()),
+    )
 }
 
-/// The clients take back what is left.
-fn expire(s: &mut Stand, ids: std::ops::Range<MsgId>) {
-    s.give(ids.map(|id| Event::Expired { id }).collect());
+/// The clients withdraw the messages.
+fn expire_messages(harness: &mut Harness, ids: std::ops::Range<MsgId>) {
+    harness.handle(ids.map(|id| Event::Expired { id }).collect());
 }
 
-fn serve(s: &mut Stand, sent: &[(MsgId, EndpointId)]) {
+fn serve(harness: &mut Harness, sent: &[(MsgId, EndpointId)]) {
     for &(id, endpoint) in sent {
-        s.end(end(id, 0, endpoint, Outcome::Served));
+        harness.end(end(id, 0, endpoint, Outcome::Served));
     }
 }
 
-/// Its calls fail, and its work was taken back meanwhile.
-fn bring_down(s: &mut Stand, dest: DestId) {
-    let sent = burst(s, 900, 9, dest, 1);
+/// Fails all calls to a destination after its messages were withdrawn.
+fn bring_down(harness: &mut Harness, dest: DestId) {
+    let sent = submit_burst(harness, 900, 9, dest, 1);
     assert_eq!(sent.len(), 9);
-    s.now += 50 * MS;
-    expire(s, 900..909);
+    harness.now += 50 * MS;
+    expire_messages(harness, 900..909);
     for (id, endpoint) in sent {
-        s.end(end(id, 0, endpoint, Outcome::ConnectionLost));
+        harness.end(end(id, 0, endpoint, Outcome::ConnectionLost));
     }
-    assert!(s.sender.route_states(s.now).iter().any(|standing| standing.dest == dest && standing.doubt));
+    assert!(harness
+        .sender
+        .route_states(harness.now)
+        .iter()
+        .any(|standing| standing.dest == dest && standing.doubt));
 }
 
-fn hints(hint: f64) -> (Settings, Entry) {
+fn with_hint(hint: f64) -> (Settings, Entry) {
     (Settings { hints: true, ..settings() }, Entry { hint, ..entry(1, 1, 0) })
 }
 
 #[test]
-fn nothing_is_remembered_of_what_is_only_listed() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 1)]);
-    idle(&mut s, SECOND);
-    assert!(remembered(&s).is_empty());
-    let sent = burst(&mut s, 0, 1, 1, 1);
-    assert_eq!(remembered(&s), [1], "it comes with the first use");
-    serve(&mut s, &sent);
+fn a_destination_that_is_only_listed_has_no_records() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 1)]);
+    advance_idle(&mut harness, SECOND);
+    assert!(dests_with_records(&harness).is_empty());
+    let sent = submit_burst(&mut harness, 0, 1, 1, 1);
+    assert_eq!(dests_with_records(&harness), [1], "it comes with the first use");
+    serve(&mut harness, &sent);
 }
 
 #[test]
-fn what_was_served_is_forgotten_and_serves_again_as_if_it_were_new() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 1)]);
+fn an_unused_destination_loses_its_records_and_serves_again_like_a_new_one() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 1)]);
     for round in 0..3 {
         for dest in [1, 2] {
-            let sent = burst(&mut s, round * 100 + dest * 20, 9, dest, 1);
+            let sent = submit_burst(&mut harness, round * 100 + dest * 20, 9, dest, 1);
             assert_eq!(sent.len(), 9, "round {round}, destination {dest}");
-            s.now += 100 * MS;
-            serve(&mut s, &sent);
+            harness.now += 100 * MS;
+            serve(&mut harness, &sent);
         }
-        idle(&mut s, 30 * SECOND);
-        assert_eq!(remembered(&s), [1, 2], "what was measured may still weigh");
-        idle(&mut s, 45 * SECOND);
-        assert!(remembered(&s).is_empty(), "round {round}: {:?}", remembered(&s));
+        advance_idle(&mut harness, 30 * SECOND);
+        assert_eq!(dests_with_records(&harness), [1, 2], "what was measured may still weigh");
+        advance_idle(&mut harness, 45 * SECOND);
+        assert!(dests_with_records(&harness).is_empty(), "round {round}: {:?}", dests_with_records(&harness));
     }
 }
 
 #[test]
-fn batches_at_the_times_that_it_tells_are_enough_to_forget_and_end_with_that() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
-    assert_eq!(s.sender.next_cleanup(), None, "what is only listed stays");
-    s.give(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
-    assert!(s.sender.next_cleanup().is_some(), "an endpoint is gone");
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    s.now += 50 * MS;
-    serve(&mut s, &sent);
+fn batches_at_next_cleanup_remove_all_records_and_then_stop() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
+    assert_eq!(harness.sender.next_cleanup(), None, "what is only listed stays");
+    harness.handle(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
+    assert!(harness.sender.next_cleanup().is_some(), "an endpoint is gone");
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    harness.now += 50 * MS;
+    serve(&mut harness, &sent);
     let mut batches = 0;
-    while let Some(at) = s.sender.next_cleanup() {
-        assert!(at > s.now && batches < 20, "batch {batches}: {at} at {}", s.now);
-        s.now = at;
-        s.give(vec![]);
+    while let Some(at) = harness.sender.next_cleanup() {
+        assert!(at > harness.now && batches < 20, "batch {batches}: {at} at {}", harness.now);
+        harness.now = at;
+        harness.handle(vec![]);
         batches += 1;
     }
-    assert!(remembered(&s).is_empty() && s.now - T0 < 90 * SECOND, "{} s", (s.now - T0) / SECOND);
+    assert!(
+        dests_with_records(&harness).is_empty() && harness.now - START < 90 * SECOND,
+        "{} s",
+        (harness.now - START) / SECOND
+    );
 }
 
 #[test]
-fn a_wait_that_was_told_binds_for_as_long_as_it_lasts() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
+fn a_requested_wait_is_kept_until_its_end() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
     let told = AttemptEnd { wait: 300 * SECOND, ..end(1, 0, sent[0].1, Outcome::TurnedAway) };
-    s.end(told);
-    let until = s.now + 300 * SECOND;
-    idle(&mut s, 200 * SECOND);
-    let actions = s.take(message(2, 1, 1));
+    harness.end(told);
+    let until = harness.now + 300 * SECOND;
+    advance_idle(&mut harness, 200 * SECOND);
+    let actions = harness.submit(message(2, 1, 1));
     assert!(
-        sends(&actions).is_empty() && finals(&actions).len() == 1,
+        sends(&actions).is_empty() && final_actions(&actions).len() == 1,
         "it can't outlast the wait: {actions:?}"
     );
-    let wait = until - s.now;
-    idle(&mut s, wait);
-    assert_eq!(burst(&mut s, 3, 1, 1, 1).len(), 1);
+    let wait = until - harness.now;
+    advance_idle(&mut harness, wait);
+    assert_eq!(submit_burst(&mut harness, 3, 1, 1, 1).len(), 1);
 }
 
 #[test]
-fn a_destination_that_failed_is_tried_with_one_call_however_long_ago_that_was() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    bring_down(&mut s, 1);
-    idle(&mut s, 1_000 * SECOND);
-    let sent = burst(&mut s, 1, 9, 1, 1);
+fn a_destination_in_doubt_gets_a_single_trial_even_long_after_it_failed() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
+    bring_down(&mut harness, 1);
+    advance_idle(&mut harness, 1_000 * SECOND);
+    let sent = submit_burst(&mut harness, 1, 9, 1, 1);
     assert_eq!(sent.len(), 1, "a single trial");
-    assert_eq!(s.sender.avoided_endpoints(s.now).collect::<Vec<_>>(), [1]);
-    expire(&mut s, 1..10);
-    s.now += 50 * MS;
-    serve(&mut s, &sent);
-    idle(&mut s, 200 * SECOND);
-    assert!(s.sender.avoided_endpoints(s.now).next().is_none());
+    assert_eq!(harness.sender.avoided_endpoints(harness.now).collect::<Vec<_>>(), [1]);
+    expire_messages(&mut harness, 1..10);
+    harness.now += 50 * MS;
+    serve(&mut harness, &sent);
+    advance_idle(&mut harness, 200 * SECOND);
+    assert!(harness.sender.avoided_endpoints(harness.now).next().is_none());
 }
 
 #[test]
-fn a_cold_return_keeps_its_ramp_through_a_pause_longer_than_anything_else_is_kept() {
+fn a_cold_route_keeps_its_warm_up_through_a_pause_longer_than_the_retention() {
     let warm_up = 400 * SECOND;
-    let mut s = Stand::new(Settings { warm_up, ..settings() }, &[entry(1, 1, 0)]);
-    bring_down(&mut s, 1);
-    idle(&mut s, 5 * SECOND);
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    serve(&mut s, &sent);
-    idle(&mut s, 150 * SECOND);
-    let sent = burst(&mut s, 2, 9, 1, 1);
+    let mut harness = Harness::new(Settings { warm_up, ..settings() }, &[entry(1, 1, 0)]);
+    bring_down(&mut harness, 1);
+    advance_idle(&mut harness, 5 * SECOND);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    serve(&mut harness, &sent);
+    advance_idle(&mut harness, 150 * SECOND);
+    let sent = submit_burst(&mut harness, 2, 9, 1, 1);
     assert_eq!(sent.len(), 1, "the ramp lets one go at once");
-    expire(&mut s, 2..11);
-    s.now += 50 * MS;
-    serve(&mut s, &sent);
-    idle(&mut s, warm_up + 200 * SECOND);
-    assert!(remembered(&s).is_empty(), "warm again, and long ago");
+    expire_messages(&mut harness, 2..11);
+    harness.now += 50 * MS;
+    serve(&mut harness, &sent);
+    advance_idle(&mut harness, warm_up + 200 * SECOND);
+    assert!(dests_with_records(&harness).is_empty(), "warm again, and long ago");
 }
 
 #[test]
-fn what_is_left_of_an_allowance_stands_until_the_bucket_is_full_again() {
-    let (cfg, entry) = hints(0.01);
-    let mut s = Stand::new(cfg, &[entry]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    s.now += 50 * MS;
-    serve(&mut s, &sent);
-    idle(&mut s, 80 * SECOND);
-    assert!(burst(&mut s, 2, 1, 1, 1).is_empty(), "one call in 100 s");
-    idle(&mut s, 15 * SECOND);
-    expire(&mut s, 2..3);
-    idle(&mut s, 100 * SECOND);
-    assert_eq!(burst(&mut s, 3, 1, 1, 1).len(), 1);
+fn records_are_kept_until_the_token_bucket_is_full_again() {
+    let (cfg, entry) = with_hint(0.01);
+    let mut harness = Harness::new(cfg, &[entry]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    harness.now += 50 * MS;
+    serve(&mut harness, &sent);
+    advance_idle(&mut harness, 80 * SECOND);
+    assert!(submit_burst(&mut harness, 2, 1, 1, 1).is_empty(), "one call in 100 s");
+    advance_idle(&mut harness, 15 * SECOND);
+    expire_messages(&mut harness, 2..3);
+    advance_idle(&mut harness, 100 * SECOND);
+    assert_eq!(submit_burst(&mut harness, 3, 1, 1, 1).len(), 1);
 }
 
 #[test]
-fn a_limit_that_was_reported_outlives_all_else() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
+fn a_reported_limit_is_kept_after_the_records_are_removed() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
     let report = Some(LimitReport { remaining: 0.9, limit: 2.0 });
-    s.end(AttemptEnd { report, ..end(1, 0, sent[0].1, Outcome::Served) });
-    idle(&mut s, 100 * SECOND);
-    assert!(remembered(&s).is_empty());
-    assert_eq!(burst(&mut s, 2, 9, 1, 1).len(), 1, "two calls a second, not all at once");
+    harness.end(AttemptEnd { report, ..end(1, 0, sent[0].1, Outcome::Served) });
+    advance_idle(&mut harness, 100 * SECOND);
+    assert!(dests_with_records(&harness).is_empty());
+    assert_eq!(submit_burst(&mut harness, 2, 9, 1, 1).len(), 1, "two calls a second, not all at once");
 }
 
 #[test]
-fn calls_and_held_messages_keep_it() {
+fn calls_in_flight_and_held_messages_keep_the_records() {
     let deadline = 400 * SECOND;
     let long = |class: &Class| Class { deadline, ..class.clone() };
     let classes = settings().classes.iter().map(long).collect();
     let cfg = Settings { classes, ..settings() };
-    let mut s = Stand::new(cfg, &[entry(1, 1, 0), entry(2, 2, 0)]);
+    let mut harness = Harness::new(cfg, &[entry(1, 1, 0), entry(2, 2, 0)]);
     let message = |id, dest| Message { time_left: deadline, ..message(id, dest, 2) };
-    let sent = sends(&s.give((1..12).map(|id| Event::Message(message(id, 1))).collect()));
+    let sent = sends(&harness.handle((1..12).map(|id| Event::Message(message(id, 1))).collect()));
     assert_eq!(sent.len(), 9);
-    s.give(vec![Event::List {
+    harness.handle(vec![Event::List {
         complete: false,
         entries: vec![Entry { condition: Condition::Draining, ..entry(2, 2, 0) }],
     }]);
-    s.take(message(20, 2));
-    idle(&mut s, 200 * SECOND);
-    let back = s.give(vec![Event::List { complete: false, entries: vec![entry(2, 2, 0)] }]);
+    harness.submit(message(20, 2));
+    advance_idle(&mut harness, 200 * SECOND);
+    let back = harness.handle(vec![Event::List { complete: false, entries: vec![entry(2, 2, 0)] }]);
     assert_eq!(sends(&back), [(20, 2)], "what was held for an endpoint goes to it");
     for (id, endpoint) in sent {
-        s.end(end(id, 0, endpoint, Outcome::Served));
+        harness.end(end(id, 0, endpoint, Outcome::Served));
     }
-    assert_eq!(s.sender.backlog().0, 3, "two that were held, and the other destination's");
+    assert_eq!(harness.sender.backlog().0, 3, "two that were held, and the other destination's");
 }
 
 #[test]
-fn what_another_process_knew_of_a_destination_never_used_here_binds() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
+fn route_states_of_another_process_apply_to_destinations_never_used_here() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0), entry(3, 3, 0)]);
     let standing = |dest| RouteState {
         dest,
         failed: 300 * SECOND,
@@ -210,70 +226,70 @@
     };
     let waits = RouteState { wait: 300 * SECOND, tokens: 1.0, ..standing(1) };
     let doubts = RouteState { doubt: true, failures: 3, failing: 0.7, tokens: 1.0, ..standing(2) };
-    s.give(vec![Event::RestoredRoutes(vec![waits, doubts])]);
+    harness.handle(vec![Event::RestoredRoutes(vec![waits, doubts])]);
     let told = AttemptEnd { wait: 300 * SECOND, ..end(77, 0, 3, Outcome::TurnedAway) };
-    s.give(vec![Event::OtherProcessAttemptEnd(told)]);
-    idle(&mut s, 100 * SECOND);
-    assert!(burst(&mut s, 1, 9, 1, 1).is_empty());
-    assert_eq!(burst(&mut s, 20, 9, 2, 1).len(), 1, "a trial");
-    assert!(burst(&mut s, 40, 9, 3, 1).is_empty());
+    harness.handle(vec![Event::OtherProcessAttemptEnd(told)]);
+    advance_idle(&mut harness, 100 * SECOND);
+    assert!(submit_burst(&mut harness, 1, 9, 1, 1).is_empty());
+    assert_eq!(submit_burst(&mut harness, 20, 9, 2, 1).len(), 1, "a trial");
+    assert!(submit_burst(&mut harness, 40, 9, 3, 1).is_empty());
 }
 
 #[test]
-fn a_small_share_that_another_process_had_is_kept_until_it_has_grown_back() {
-    let (cfg, entry) = hints(1_000.0);
-    let mut s = Stand::new(Settings { n_instances: 510, ..cfg }, &[entry]);
-    idle(&mut s, 60 * SECOND);
+fn a_small_share_from_another_process_is_kept_until_it_has_grown_back() {
+    let (cfg, entry) = with_hint(1_000.0);
+    let mut harness = Harness::new(Settings { n_instances: 510, ..cfg }, &[entry]);
+    advance_idle(&mut harness, 60 * SECOND);
     let failed = 300 * SECOND;
-    s.give(vec![Event::RestoredRoutes(vec![RouteState {
+    harness.handle(vec![Event::RestoredRoutes(vec![RouteState {
         dest: 1,
         failed,
         share: 1e-5,
         tokens: 4.0,
         ..RouteState::default()
     }])]);
-    idle(&mut s, 12 * SECOND);
-    assert_eq!(burst(&mut s, 1, 9, 1, 1).len(), 1, "not the four that all of the limit allows");
+    advance_idle(&mut harness, 12 * SECOND);
+    assert_eq!(submit_burst(&mut harness, 1, 9, 1, 1).len(), 1, "not the four that all of the limit allows");
 }
 
 #[test]
-fn calls_of_another_process_keep_it() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    serve(&mut s, &sent);
-    s.give(vec![Event::OtherProcess { sends: false, calls: vec![1] }]);
-    idle(&mut s, 200 * SECOND);
-    assert_eq!(remembered(&s), [1]);
-    s.give(vec![Event::OtherProcess { sends: false, calls: vec![] }]);
-    idle(&mut s, 20 * SECOND);
-    assert!(remembered(&s).is_empty());
+fn calls_of_another_process_keep_the_records() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    serve(&mut harness, &sent);
+    harness.handle(vec![Event::OtherProcess { sends: false, calls: vec![1] }]);
+    advance_idle(&mut harness, 200 * SECOND);
+    assert_eq!(dests_with_records(&harness), [1]);
+    harness.handle(vec![Event::OtherProcess { sends: false, calls: vec![] }]);
+    advance_idle(&mut harness, 20 * SECOND);
+    assert!(dests_with_records(&harness).is_empty());
 }
 
 #[test]
 fn a_first_use_finds_the_bucket_filled_since_the_destination_was_listed() {
     for (after, at_once) in [(0, 1), (200 * MS, 2), (SECOND, 2)] {
-        let (cfg, entry) = hints(5.0);
-        let mut s = Stand::new(cfg, &[entry]);
-        s.now += after;
-        assert_eq!(burst(&mut s, 1, 9, 1, 1).len(), at_once, "first used after {after} ns");
+        let (cfg, entry) = with_hint(5.0);
+        let mut harness = Harness::new(cfg, &[entry]);
+        harness.now += after;
+        assert_eq!(submit_burst(&mut harness, 1, 9, 1, 1).len(), at_once, "first used after {after} ns");
     }
 }
 
 #[test]
 fn a_first_use_finds_the_share_grown_since_the_destination_was_listed() {
     let sent_after = |idled: Ns| {
-        let mut s = Stand::new(Settings { n_instances: 10, ..settings() }, &[entry(1, 1, 0)]);
-        s.now += idled;
-        // It tells of its limit, and that others use some of it too: the share stays.
+        let mut harness = Harness::new(Settings { n_instances: 10, ..settings() }, &[entry(1, 1, 0)]);
+        harness.now += idled;
+        // It reports its limit, and that others use part of it: the share stays.
         let report = Some(LimitReport { remaining: 0.4, limit: 20.0 });
-        let mut sent = burst(&mut s, 1, 60, 1, 1);
-        let (mut count, until) = (0, s.now + 2 * SECOND);
-        while s.now < until {
-            s.now += 20 * MS;
+        let mut sent = submit_burst(&mut harness, 1, 60, 1, 1);
+        let (mut count, until) = (0, harness.now + 2 * SECOND);
+        while harness.now < until {
+            harness.now += 20 * MS;
             let ends = sent.iter().map(|&(id, e)| AttemptEnd { report, ..end(id, 0, e, Outcome::Served) });
             let events: Vec<Event> = ends.map(Event::AttemptEnd).chain([Event::Timer]).collect();
             count += sent.len();
-            sent = sends(&s.give(events));
+            sent = sends(&harness.handle(events));
         }
         count
     };
@@ -282,88 +298,90 @@
 }
 
 #[test]
-fn a_first_use_finds_the_hint_that_was_told_last_of_any_of_its_endpoints() {
-    let (cfg, first) = hints(5.0);
+fn a_first_use_finds_the_last_hint_of_any_of_its_endpoints() {
+    let (cfg, first) = with_hint(5.0);
     let second = Entry { endpoint: 2, ..first };
-    let mut s = Stand::new(cfg, &[first, second]);
+    let mut harness = Harness::new(cfg, &[first, second]);
     let entries = vec![Entry { hint: 0.01, ..first }];
-    s.give(vec![Event::List { complete: false, entries }]);
-    s.now += 20 * SECOND;
-    assert_eq!(burst(&mut s, 1, 9, 1, 1).len(), 1, "one call in 100 s");
+    harness.handle(vec![Event::List { complete: false, entries }]);
+    harness.now += 20 * SECOND;
+    assert_eq!(submit_burst(&mut harness, 1, 9, 1, 1).len(), 1, "one call in 100 s");
 }
 
 #[test]
-fn new_settings_hold_for_a_destination_with_and_without_records() {
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    serve(&mut s, &sent);
+fn new_settings_apply_to_destinations_with_and_without_records() {
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    serve(&mut harness, &sent);
     let classes = [settings().classes, vec![class(Effect::Safe)]].concat();
     let kinds = settings().kinds.iter().map(|kind| Kind { separate_routes: true, ..*kind }).collect();
     let new = Settings { classes, kinds, slots: 40, ..settings() };
-    s.give(vec![Event::Settings(new)]);
+    harness.handle(vec![Event::Settings(new)]);
     for (first, dest) in [(100, 1), (200, 2)] {
-        let sent = burst(&mut s, first, 35, dest, 3);
+        let sent = submit_burst(&mut harness, first, 35, dest, 3);
         assert_eq!(
             sent.len(),
             if dest == 1 { 30 } else { 10 },
             "destination {dest}: the cap, then the slots"
         );
     }
-    // One slot: what has its records and what gets them now both keep to it.
-    expire(&mut s, 100..135);
-    expire(&mut s, 200..235);
-    let mut s = Stand::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
-    let sent = burst(&mut s, 1, 1, 1, 1);
-    serve(&mut s, &sent);
-    s.give(vec![Event::Settings(Settings { slots: 1, ..settings() })]);
+    // One slot: destinations with and without records both keep to it.
+    expire_messages(&mut harness, 100..135);
+    expire_messages(&mut harness, 200..235);
+    let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
+    let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+    serve(&mut harness, &sent);
+    harness.handle(vec![Event::Settings(Settings { slots: 1, ..settings() })]);
     for (first, dest) in [(100, 1), (200, 2)] {
-        let sent = burst(&mut s, first, 3, dest, 1);
+        let sent = submit_burst(&mut harness, first, 3, dest, 1);
         assert_eq!(sent.len(), 1, "destination {dest}");
-        expire(&mut s, first..first + 3);
-        serve(&mut s, &sent);
+        expire_messages(&mut harness, first..first + 3);
+        serve(&mut harness, &sent);
     }
 }
 
 #[test]
-fn an_endpoint_that_changes_its_destination_serves_the_new_one_alone() {
+fn an_endpoint_that_moves_to_another_destination_serves_only_that_one() {
     for used in [false, true] {
-        let mut s = Stand::new(settings(), &[entry(1, 1, 1), entry(2, 1, 1)]);
-        let sent = if used { burst(&mut s, 1, 2, 1, 1) } else { Vec::new() };
-        s.give(vec![Event::List { complete: false, entries: vec![entry(1, 2, 1)] }]);
-        serve(&mut s, &sent);
-        let one = burst(&mut s, 100, 4, 1, 1);
-        let two = burst(&mut s, 200, 4, 2, 1);
+        let mut harness = Harness::new(settings(), &[entry(1, 1, 1), entry(2, 1, 1)]);
+        let sent = if used { submit_burst(&mut harness, 1, 2, 1, 1) } else { Vec::new() };
+        harness.handle(vec![Event::List { complete: false, entries: vec![entry(1, 2, 1)] }]);
+        serve(&mut harness, &sent);
+        let one = submit_burst(&mut harness, 100, 4, 1, 1);
+        let two = submit_burst(&mut harness, 200, 4, 2, 1);
         assert!(one.len() == 4 && one.iter().all(|&(_, e)| e == 2), "used {used}: {one:?}");
         assert!(two.len() == 4 && two.iter().all(|&(_, e)| e == 1), "used {used}: {two:?}");
-        serve(&mut s, &one);
-        serve(&mut s, &two);
-        idle(&mut s, 100 * SECOND);
-        assert!(remembered(&s).is_empty());
+        serve(&mut harness, &one);
+        serve(&mut harness, &two);
+        advance_idle(&mut harness, 100 * SECOND);
+        assert!(dests_with_records(&harness).is_empty());
     }
 }
 
 #[test]
-fn what_is_gone_while_it_waits_waits_when_it_is_listed_again() {
+fn a_wait_still_holds_when_a_removed_endpoint_is_listed_again() {
     for kind in [0, 1] {
-        let mut s = Stand::new(settings(), &[entry(1, 1, kind)]);
-        let sent = burst(&mut s, 1, 1, 1, 1);
-        s.end(AttemptEnd { wait: 300 * SECOND, ..end(1, 0, sent[0].1, Outcome::TurnedAway) });
-        s.give(vec![Event::List { complete: true, entries: vec![] }]);
-        idle(&mut s, 200 * SECOND);
-        s.give(vec![Event::List { complete: false, entries: vec![entry(1, 1, kind)] }]);
-        assert!(burst(&mut s, 2, 1, 1, 1).is_empty(), "kind {kind}");
+        let mut harness = Harness::new(settings(), &[entry(1, 1, kind)]);
+        let sent = submit_burst(&mut harness, 1, 1, 1, 1);
+        harness.end(AttemptEnd { wait: 300 * SECOND, ..end(1, 0, sent[0].1, Outcome::TurnedAway) });
+        harness.handle(vec![Event::List { complete: true, entries: vec![] }]);
+        advance_idle(&mut harness, 200 * SECOND);
+        harness.handle(vec![Event::List { complete: false, entries: vec![entry(1, 1, kind)] }]);
+        assert!(submit_burst(&mut harness, 2, 1, 1, 1).is_empty(), "kind {kind}");
     }
 }
 
 #[test]
-fn an_entry_that_is_there_twice_or_unknown_and_gone_leaves_what_the_last_one_says() {
+fn of_duplicate_entries_the_last_one_counts_and_unknown_gone_ones_are_ignored() {
     let gone = |e| Entry { condition: Condition::Gone, ..e };
-    let mut s =
-        Stand::new(settings(), &[gone(entry(1, 1, 0)), entry(1, 1, 0), entry(2, 2, 0), gone(entry(2, 2, 0))]);
-    s.give(vec![Event::List { complete: false, entries: vec![gone(entry(9, 9, 0))] }]);
-    assert_eq!(burst(&mut s, 1, 1, 1, 1), [(1, 1)]);
-    assert!(burst(&mut s, 2, 1, 2, 1).is_empty());
-    assert!(burst(&mut s, 3, 1, 9, 1).is_empty());
-    idle(&mut s, 30 * SECOND);
-    assert!(burst(&mut s, 4, 1, 2, 1).is_empty(), "it is gone for good");
+    let mut harness = Harness::new(
+        settings(),
+        &[gone(entry(1, 1, 0)), entry(1, 1, 0), entry(2, 2, 0), gone(entry(2, 2, 0))],
+    );
+    harness.handle(vec![Event::List { complete: false, entries: vec![gone(entry(9, 9, 0))] }]);
+    assert_eq!(submit_burst(&mut harness, 1, 1, 1, 1), [(1, 1)]);
+    assert!(submit_burst(&mut harness, 2, 1, 2, 1).is_empty());
+    assert!(submit_burst(&mut harness, 3, 1, 9, 1).is_empty());
+    advance_idle(&mut harness, 30 * SECOND);
+    assert!(submit_burst(&mut harness, 4, 1, 2, 1).is_empty(), "it is gone for good");
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Destinations cost by use and not by being listed: bytes held and allocations, counted.
+//! Memory and allocations depend on destinations in use, not on listed ones.
 mod common;
 #[path = "common/counting.rs"]
 mod counting;
@@ -20,68 +20,68 @@
     Settings { slots: 400, max_open: 20_000, n_instances: 510, ..settings() }
 }
 
-/// One message to each of so many destinations, and all are served.
-fn serve(s: &mut Stand, first: MsgId, dests: std::ops::Range<DestId>) {
+/// Sends one message to each destination, and all are served.
+fn serve(harness: &mut Harness, first: MsgId, dests: std::ops::Range<DestId>) {
     for (i, dest) in dests.enumerate() {
-        s.now += MS;
-        let sent = sends(&s.take(message(first + i as MsgId, dest, 1)));
-        s.now += MS;
-        s.end(end(sent[0].0, 0, sent[0].1, Outcome::Served));
+        harness.now += MS;
+        let sent = sends(&harness.submit(message(first + i as MsgId, dest, 1)));
+        harness.now += MS;
+        harness.end(end(sent[0].0, 0, sent[0].1, Outcome::Served));
     }
 }
 
-fn idle(s: &mut Stand, span: Ns) {
-    let until = s.now + span;
-    while s.now < until {
-        s.now += 100 * MS;
-        s.give(vec![Event::Timer]);
+fn idle(harness: &mut Harness, span: Ns) {
+    let until = harness.now + span;
+    while harness.now < until {
+        harness.now += 100 * MS;
+        harness.handle(vec![Event::Timer]);
     }
 }
 
-/// Allocations for one entry that changes, on the average.
-fn change(s: &mut Stand) -> f64 {
+/// The mean number of allocations for one changed entry.
+fn change(harness: &mut Harness) -> f64 {
     let (count, before) = (200, MEMORY.calls());
     for i in 0..count {
         let condition = if i % 2 == 0 { Condition::Draining } else { Condition::Ready };
         let entries = vec![Entry { condition, ..entry(7, 7, 0) }];
-        s.now += MS;
-        s.give(vec![Event::List { complete: false, entries }]);
+        harness.now += MS;
+        harness.handle(vec![Event::List { complete: false, entries }]);
     }
     (MEMORY.calls() - before) as f64 / f64::from(count)
 }
 
-/// One test alone, as all threads of a test program share the allocator.
+/// Only one test, as all threads of a test program share the allocator.
 #[test]
-fn memory_follows_use_and_comes_back() {
+fn memory_grows_with_use_and_is_freed_afterwards() {
     let per = |bytes: usize, count: u64| bytes as f64 / count as f64;
-    let mut small = Stand::new(cfg(), &list(30, 30));
+    let mut small = Harness::new(cfg(), &list(30, 30));
     let few = change(&mut small);
     drop(small);
     let entries = list(DESTS, ENDPOINTS);
     let empty = MEMORY.held();
-    let mut s = Stand::new(cfg(), &entries);
+    let mut harness = Harness::new(cfg(), &entries);
     let listed = MEMORY.held() - empty;
     assert!(per(listed, ENDPOINTS) < 130.0, "{:.0} bytes for a listed endpoint", per(listed, ENDPOINTS));
-    let many = change(&mut s);
+    let many = change(&mut harness);
     assert!(many <= few * 1.5, "allocations for a changed entry: {few} of 30, {many} of {DESTS}");
     // The same list again takes nothing more.
-    s.give(vec![Event::List { complete: true, entries: entries.clone() }]);
-    idle(&mut s, SECOND);
-    serve(&mut s, 0, 0..1_000);
-    idle(&mut s, SECOND);
+    harness.handle(vec![Event::List { complete: true, entries: entries.clone() }]);
+    idle(&mut harness, SECOND);
+    serve(&mut harness, 0, 0..1_000);
+    idle(&mut harness, SECOND);
     let used = MEMORY.held() - empty - listed;
     assert!(per(used, 1_000) < 2_000.0, "{:.0} bytes for a destination in use", per(used, 1_000));
-    idle(&mut s, 120 * SECOND);
+    idle(&mut harness, 120 * SECOND);
     let rest = (MEMORY.held() - empty).saturating_sub(listed);
     assert!(per(rest, 1_000) < 20.0, "{:.0} bytes for one that was in use", per(rest, 1_000));
-    // Gone one after the other, and at once.
+    // Removed one by one, then all at once.
     for e in entries.iter().skip(10).take(1_000) {
-        s.give(vec![Event::List {
+        harness.handle(vec![Event::List {
             complete: false,
             entries: vec![Entry { condition: Condition::Gone, ..*e }],
         }]);
     }
-    idle(&mut s, 30 * SECOND);
+    idle(&mut harness, 30 * SECOND);
     let fewer = MEMORY.held() - empty;
     let gone = (listed + rest).saturating_sub(fewer);
     assert!(
@@ -89,8 +89,8 @@
         "{:.0} bytes came back with each endpoint that is gone",
         per(gone, 1_000)
     );
-    s.give(vec![Event::List { complete: true, entries: list(10, 10) }]);
-    idle(&mut s, 120 * SECOND);
+    harness.handle(vec![Event::List { complete: true, entries: list(10, 10) }]);
+    idle(&mut harness, 120 * SECOND);
     let last = MEMORY.held() - empty;
     assert!(last < 20_000, "{last} bytes for a list of 10");
 }
