--- a/crates/policy/src/listing.rs
+++ b/crates/policy/src/listing.rs
@@ -72,7 +72,7 @@
 
     /// The entry of an endpoint in use, which stays listed as long as it is used.
     pub fn at(&self, endpoint: EndpointId) -> &ListedEndpoint {
-        self.get(endpoint).expect("what is in use is listed")
+        self.get(endpoint).expect("an endpoint in use is listed")
     }
 
     /// The endpoints of a destination.
--- a/crates/policy/src/records.rs
+++ b/crates/policy/src/records.rs
@@ -25,7 +25,7 @@
             endpoints.into_iter().for_each(|endpoint| self.ensure_endpoint(endpoint));
             self.unused_dests.set(id, Some(self.now));
         }
-        self.dests.get_mut(&id).expect("made above where it was missing")
+        self.dests.get_mut(&id).expect("created above if missing")
     }
 
     /// Creates the records of a listed endpoint and its destination where they are missing.
--- a/crates/policy/tests/forget.rs
+++ b/crates/policy/tests/forget.rs
@@ -69,7 +69,7 @@
     advance_idle(&mut harness, SECOND);
     assert!(dests_with_records(&harness).is_empty());
     let sent = submit_burst(&mut harness, 0, 1, 1, 1);
-    assert_eq!(dests_with_records(&harness), [1], "it comes with the first use");
+    assert_eq!(dests_with_records(&harness), [1], "the records are created on first use");
     serve(&mut harness, &sent);
 }
 
@@ -84,7 +84,7 @@
             serve(&mut harness, &sent);
         }
         advance_idle(&mut harness, 30 * SECOND);
-        assert_eq!(dests_with_records(&harness), [1, 2], "what was measured may still weigh");
+        assert_eq!(dests_with_records(&harness), [1, 2], "measurements may still have weight");
         advance_idle(&mut harness, 45 * SECOND);
         assert!(dests_with_records(&harness).is_empty(), "round {round}: {:?}", dests_with_records(&harness));
     }
@@ -93,7 +93,7 @@
 #[test]
 fn batches_at_next_cleanup_remove_all_records_and_then_stop() {
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0), entry(2, 2, 0)]);
-    assert_eq!(harness.sender.next_cleanup(), None, "what is only listed stays");
+    assert_eq!(harness.sender.next_cleanup(), None, "a destination that is only listed needs no cleanup");
     harness.handle(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
     assert!(harness.sender.next_cleanup().is_some(), "an endpoint is gone");
     let sent = submit_burst(&mut harness, 1, 1, 1, 1);
@@ -161,7 +161,7 @@
     harness.now += 50 * MS;
     serve(&mut harness, &sent);
     advance_idle(&mut harness, warm_up + 200 * SECOND);
-    assert!(dests_with_records(&harness).is_empty(), "warm again, and long ago");
+    assert!(dests_with_records(&harness).is_empty(), "warm again for long enough");
 }
 
 #[test]
@@ -207,7 +207,7 @@
     harness.submit(message(20, 2));
     advance_idle(&mut harness, 200 * SECOND);
     let back = harness.handle(vec![Event::List { complete: false, entries: vec![entry(2, 2, 0)] }]);
-    assert_eq!(sends(&back), [(20, 2)], "what was held for an endpoint goes to it");
+    assert_eq!(sends(&back), [(20, 2)], "a held message is sent once its endpoint is ready");
     for (id, endpoint) in sent {
         harness.end(end(id, 0, endpoint, Outcome::Served));
     }
@@ -383,5 +383,5 @@
     assert!(submit_burst(&mut harness, 2, 1, 2, 1).is_empty());
     assert!(submit_burst(&mut harness, 3, 1, 9, 1).is_empty());
     advance_idle(&mut harness, 30 * SECOND);
-    assert!(submit_burst(&mut harness, 4, 1, 2, 1).is_empty(), "it is gone for good");
+    assert!(submit_burst(&mut harness, 4, 1, 2, 1).is_empty(), "it is removed");
 }
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -84,11 +84,7 @@
     idle(&mut harness, 30 * SECOND);
     let fewer = MEMORY.held() - empty;
     let gone = (listed + rest).saturating_sub(fewer);
-    assert!(
-        per(gone, 1_000) > 50.0,
-        "{:.0} bytes came back with each endpoint that is gone",
-        per(gone, 1_000)
-    );
+    assert!(per(gone, 1_000) > 50.0, "{:.0} bytes freed for each removed endpoint", per(gone, 1_000));
     harness.handle(vec![Event::List { complete: true, entries: list(10, 10) }]);
     idle(&mut harness, 120 * SECOND);
     let last = MEMORY.held() - empty;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -12,7 +12,7 @@
     assert_eq!(sent.len(), 9, "three quarters of 12 slots");
     assert_eq!(sent[0], (0, 1));
     let more = harness.end(end(0, 0, 1, Outcome::Served));
-    assert_eq!(sends(&more).len(), 1, "an answer frees a place");
+    assert_eq!(sends(&more).len(), 1, "an answer frees one call under the cap");
 }
 
 /// Sends `at_level` messages at once and serves each after `took`.
@@ -128,7 +128,7 @@
         let budget = 2.0 * (0.2 + 0.8 * warm) * limit * 3.0 / 2.0;
         assert!(count <= budget, "{count} sent in a window that allows {budget}");
     }
-    assert!(trials.iter().filter(|&&t| t > start + 6 * SECOND).count() > 8, "the return is noticed");
+    assert!(trials.iter().filter(|&&t| t > start + 6 * SECOND).count() > 8, "the recovery is noticed");
 }
 
 #[test]
@@ -194,7 +194,7 @@
 fn a_timer_that_fires_a_nanosecond_early_is_set_again() {
     let mut harness = Harness::new(settings(), &[]);
     let first = harness.submit(message(1, 1, 0));
-    let Some(Action::Timer { at }) = first.last().copied() else { panic!("a timer is asked for") };
+    let Some(Action::Timer { at }) = first.last().copied() else { panic!("a timer is requested") };
     harness.now = at - 1;
     let next = harness.handle(vec![Event::Timer]);
     assert!(next.iter().any(|a| matches!(a, Action::Timer { .. })), "another timer is set");
@@ -230,7 +230,7 @@
             at < told_at + 700 * MS && matches!(a, Action::Send { endpoint, .. } if *endpoint == e)
         };
         let other = 3 - place;
-        assert!(!all.iter().any(|(at, a)| early(*at, a, place)), "the wait is heeded");
+        assert!(!all.iter().any(|(at, a)| early(*at, a, place)), "the wait is kept");
         assert_eq!(all.iter().any(|(at, a)| early(*at, a, other)), elsewhere, "kind {kind}");
     }
 }
@@ -271,7 +271,11 @@
     let keyed = |id, dest| Message { key: Some(5), ..message(id, dest, 0) };
     let sent = sends(&harness.handle(vec![Event::Message(keyed(1, 1)), Event::Message(keyed(2, 2))]));
     assert_eq!(sent, [(1, 1)], "one at a time, over all destinations");
-    assert_eq!(sends(&harness.submit(message(3, 2, 0))), [(3, 2)], "without a key it is free");
+    assert_eq!(
+        sends(&harness.submit(message(3, 2, 0))),
+        [(3, 2)],
+        "a message without a key is not held back"
+    );
     // The first message of the key may be sent again at once; the next waits for the pause after a lost
     // connection.
     harness.now += 100 * MS;
@@ -285,7 +289,7 @@
     let next: Vec<_> =
         harness.advance(3 * SECOND).into_iter().filter(|(_, a)| !sends(&[*a]).is_empty()).collect();
     assert_eq!(next.len(), 1);
-    assert!(next[0].0 >= over + SECOND, "the key rested");
+    assert!(next[0].0 >= over + SECOND, "the key was paused");
 }
 
 #[test]
@@ -444,7 +448,7 @@
         harness.end(AttemptEnd { took: 3 * SECOND, ..end(id, 0, 1, Outcome::Served) });
     }
     let now = sends(&harness.handle((60..64).map(|i| Event::Message(message(i, 1, 2))).collect()));
-    assert!(now.len() >= 3, "slow is no outage: {now:?}");
+    assert!(now.len() >= 3, "a slow destination is not in doubt: {now:?}");
 }
 
 #[test]
@@ -462,7 +466,7 @@
         .map(|x| x.1)
         .filter(|a| matches!(a, Action::Cancel { .. }))
         .collect();
-    assert_eq!(off, [Action::Cancel { id: 2, attempt: 0 }], "only what is still out");
+    assert_eq!(off, [Action::Cancel { id: 2, attempt: 0 }], "only the message without an outcome");
 }
 
 #[test]
@@ -475,7 +479,7 @@
     for n in [100, 300, 510] {
         assert!(last(n) > 150 * MS && last(n) <= 200 * MS, "all of {n} by {}", last(n));
     }
-    assert!(last(2) <= 50 * MS, "two need not wait");
+    assert!(last(2) <= 50 * MS, "two senders need no longer delay");
 }
 
 /// The times at which each of `n` senders asks discovery in the first minute after its watch has ended.
@@ -539,7 +543,7 @@
             let few = n.clamp(1, 30) as Ns;
             assert!(retry.record_failure(0) <= few.max(35) * 100 * MS);
             retry.record_success();
-            assert!(n > 3 || retry.record_failure(0) <= 300 * MS, "few need not wait");
+            assert!(n > 3 || retry.record_failure(0) <= 300 * MS, "few senders need no longer delay");
         }
     }
 }
@@ -627,7 +631,7 @@
     harness.now += 100 * MS;
     assert!(
         !harness.end(end(1, 0, 1, Outcome::Served)).contains(&Action::Close { endpoint: 1 }),
-        "they are few"
+        "few senders keep it"
     );
     let many = Settings { n_instances: 500, ..settings() };
     let mut harness = Harness::new(many, &[entry(1, 1, 0), entry(2, 1, 0)]);
@@ -674,7 +678,7 @@
     // The fair share of 10 calls per second among 50 senders is one call in 5 s, so it retries after some
     // seconds.
     let all = harness.advance(4 * SECOND);
-    assert!(sends(&without_times(&all)).is_empty(), "it does not use up the limit by asking: {all:?}");
+    assert!(sends(&without_times(&all)).is_empty(), "its retries do not exhaust the limit: {all:?}");
     let all = harness.advance(11 * SECOND);
     assert_eq!(sends(&without_times(&all)).len(), 1);
     harness.now += 50 * MS;
@@ -682,7 +686,7 @@
     harness.end(AttemptEnd { report: free, ..end(1, 1, 1, Outcome::Served) });
     harness.now += 40 * SECOND;
     let burst = (10..16).map(|i| Event::Message(message(i, 1, 1))).collect();
-    assert!(sends(&harness.handle(burst)).len() >= 4, "long without news: the whole limit may be free");
+    assert!(sends(&harness.handle(burst)).len() >= 4, "long without a report: the full limit may be free");
 }
 
 #[test]
@@ -759,7 +763,7 @@
             }
         }
     }
-    assert!(times.len() > 5, "the return is noticed by some: {}", times.len());
+    assert!(times.len() > 5, "some senders notice the recovery: {}", times.len());
     for from in (0..12).map(|i| i * SECOND) {
         let count = times.iter().filter(|&&t| t >= from && t < from + 3 * SECOND).count() as f64;
         let able = 0.2 + 0.8 * ((from + 3 * SECOND) as f64 / 10e9).min(1.0);
@@ -779,7 +783,7 @@
     harness.end(end(1, 0, 1, Outcome::Served));
     harness.end(end(3, 0, 1, Outcome::Served));
     harness.handle(vec![Event::List { complete: true, entries: vec![entry(1, 1, 0)] }]);
-    assert_eq!(sends(&harness.submit(message(4, 1, 1))), [(4, 1)], "back again");
+    assert_eq!(sends(&harness.submit(message(4, 1, 1))), [(4, 1)], "the endpoint is listed again");
 }
 
 #[test]
@@ -823,7 +827,7 @@
     assert_eq!(
         sent.iter().filter(|&&(id, _)| id < 16).count(),
         7,
-        "beside the two that came later: {sent:?}"
+        "in addition to the two later ones: {sent:?}"
     );
 }
 
@@ -961,7 +965,7 @@
     tried.extend(sends(&without_times(&harness.advance(300 * MS))));
     assert_eq!(tried.len(), 1, "one trial while all the others hang: {tried:?}");
     let back = sends(&harness.end(end(tried[0].0, 0, 1, Outcome::Served)));
-    assert!(!back.is_empty(), "it is back");
+    assert!(!back.is_empty(), "the destination has recovered");
 }
 
 #[test]
@@ -1013,12 +1017,9 @@
     harness.handle(vec![Event::Settings(new)]);
     assert_eq!(sends(&harness.submit(message(2, 7, 3))), [(2, 1)]);
     let again = harness.end(end(1, 0, 1, Outcome::ServerError));
-    assert_eq!(sends(&again), [(1, 1)], "the older one has its eight attempts");
+    assert_eq!(sends(&again), [(1, 1)], "the older message keeps its eight attempts");
     let ended = harness.end(end(2, 0, 1, Outcome::ServerError));
-    assert!(
-        matches!(final_actions(&ended)[..], [Action::Refuse { id: 2, .. }]),
-        "it has had its one attempt"
-    );
+    assert!(matches!(final_actions(&ended)[..], [Action::Refuse { id: 2, .. }]), "its one attempt is used");
     // Three quarters of the new slots.
     for id in 10..20 {
         harness.submit(message(id, 8, 1));
@@ -1061,7 +1062,7 @@
     let route_states = before.sender.route_states(before.now);
     let mut harness = Harness::new(settings(), &entries);
     harness.handle(vec![Event::RestoredRoutes(route_states)]);
-    assert!(sends(&harness.submit(message(20, 7, 1))).is_empty(), "told to wait");
+    assert!(sends(&harness.submit(message(20, 7, 1))).is_empty(), "in a requested wait");
     assert!(sends(&harness.submit(message(21, 8, 1))).is_empty(), "in doubt");
     // A wait that a call of the other process is asked for later holds as well.
     let told = AttemptEnd { wait: 2 * SECOND, ..end(99, 0, 3, Outcome::TurnedAway) };
@@ -1124,11 +1125,11 @@
     }
     assert!(
         matches!(final_actions(&harness.submit(message(9, 1, 0)))[..], [Action::Refuse { id: 9, .. }]),
-        "nothing is held"
+        "no message is held"
     );
     assert!(sends(&harness.advance(SECOND).into_iter().map(|x| x.1).collect::<Vec<_>>()).is_empty());
     harness.handle(vec![Event::Evacuate(false)]);
-    assert_eq!(sends(&harness.submit(message(10, 1, 0))), [(10, 1)], "the machine stays");
+    assert_eq!(sends(&harness.submit(message(10, 1, 0))), [(10, 1)], "the machine is kept");
 }
 
 #[test]
@@ -1151,7 +1152,7 @@
         harness.submit(message(0, 1, 1));
         harness.now += 100 * MS;
         harness.end(AttemptEnd { wait: 2 * SECOND, ..end(0, 0, 1, Outcome::TurnedAway) });
-        assert_eq!(is_ramped(&harness), many, "of {n_instances}: shut");
+        assert_eq!(is_ramped(&harness), many, "of {n_instances}: an outage wait");
 
         let mut harness = new_harness();
         harness.submit(message(0, 1, 1));
