--- a/crates/policy/benches/destinations.rs
+++ b/crates/policy/benches/destinations.rs
@@ -103,10 +103,10 @@
     let base = MEMORY.held();
     let mut run = Run::new();
     let entries = list(DESTS, ENDPOINTS);
-    let whole = Event::List { complete: true, entries };
+    let complete_list = Event::List { complete: true, entries };
     let before = MEMORY.held();
     let start = Instant::now();
-    run.handle(std::slice::from_ref(&whole));
+    run.handle(std::slice::from_ref(&complete_list));
     println!(
         "listed {DESTS} of {ENDPOINTS} endpoints: {:.1} MB, {:?}",
         mb(MEMORY.held() - before),
@@ -114,9 +114,9 @@
     );
     MEMORY.most();
     let start = Instant::now();
-    run.handle(std::slice::from_ref(&whole));
+    run.handle(std::slice::from_ref(&complete_list));
     println!("the same list again: {:?}, peak {:.1} MB above", start.elapsed(), mb(MEMORY.most() - before));
-    drop(whole);
+    drop(complete_list);
     let listed = MEMORY.held();
     run.messages(10_000, |i| i * 14);
     run.advance(SECOND);
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -97,7 +97,7 @@
     pub slots: usize,
     /// Messages it may hold, whether sent or not.
     pub max_open: usize,
-    /// The longest time after which clients accept to be told to submit again.
+    /// The longest backoff that clients follow.
     pub max_retry_after: Ns,
     pub may_duplicate: bool,
     pub may_probe: bool,
--- a/crates/policy/src/caps_tests.rs
+++ b/crates/policy/src/caps_tests.rs
@@ -136,8 +136,8 @@
             };
             dest.add(&end, class, level, now - took, &cfg, now);
             use Outcome::{ConnectionLost, NoAnswer, Served, ServerError, TurnedAway};
-            let tells = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
-            if tells && !reused_connection {
+            let counts = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
+            if counts && !reused_connection {
                 let x = if outcome == Outcome::Served { took } else { cfg.classes[class].target };
                 direct.classes[class].1[level.min(top(&cfg))].record(now, x as f64);
             }
--- a/crates/policy/src/rules/mod.rs
+++ b/crates/policy/src/rules/mod.rs
@@ -145,9 +145,9 @@
     /// Removes unusable endpoints that nothing depends on, and records of destinations at rest, in batches.
     fn clean_up(&mut self) {
         let now = self.now;
-        let gone = self.listing.unusable().filter(|&id| self.is_removable(id));
-        let gone: Vec<EndpointId> = gone.take(CLEANUP_BATCH).collect();
-        gone.iter().for_each(|&id| self.remove_endpoint(id));
+        let removable = self.listing.unusable().filter(|&id| self.is_removable(id));
+        let removable: Vec<EndpointId> = removable.take(CLEANUP_BATCH).collect();
+        removable.iter().for_each(|&id| self.remove_endpoint(id));
         let due: Vec<DestId> = self.unused_dests.due(now).take(CLEANUP_BATCH).collect();
         for &id in &due {
             self.unused_dests.set(id, (!self.active.contains(&id)).then_some(now + CLEANUP_INTERVAL));
@@ -156,7 +156,7 @@
             }
         }
         self.key_queues.prune(now);
-        if gone.len().max(due.len()) < CLEANUP_BATCH {
+        if removable.len().max(due.len()) < CLEANUP_BATCH {
             self.cleaned_up_at = now;
         }
     }
