--- a/crates/policy/benches/destinations.rs
+++ b/crates/policy/benches/destinations.rs
@@ -112,10 +112,10 @@
         mb(MEMORY.held() - before),
         start.elapsed()
     );
-    MEMORY.most();
+    MEMORY.peak();
     let start = Instant::now();
     run.handle(std::slice::from_ref(&complete_list));
-    println!("the same list again: {:?}, peak {:.1} MB above", start.elapsed(), mb(MEMORY.most() - before));
+    println!("the same list again: {:?}, peak {:.1} MB above", start.elapsed(), mb(MEMORY.peak() - before));
     drop(complete_list);
     let listed = MEMORY.held();
     run.messages(10_000, |i| i * 14);
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -276,8 +276,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Sends to one endpoint in one batch of actions share a call, up to `Kind::batch`. `timeout` 0: none but
-    /// the client's.
+    /// All messages sent to one endpoint in the same batch of actions share calls of up to `Kind::batch`
+    /// messages. `timeout` 0: no timeout other than the client's.
     Send {
         id: MsgId,
         endpoint: EndpointId,
--- a/crates/policy/src/caps_tests.rs
+++ b/crates/policy/src/caps_tests.rs
@@ -10,14 +10,14 @@
     classes: Vec<(Stats, Vec<Stats>)>,
 }
 
-fn top(cfg: &Settings) -> usize {
+fn max_cap(cfg: &Settings) -> usize {
     (cfg.slots * 3 / 4).max(1)
 }
 
 impl DirectFormula {
     fn new(cfg: &Settings) -> DirectFormula {
-        let seen = (Stats::default(), vec![Stats::default(); top(cfg) + 1]);
-        DirectFormula { cap: top(cfg), classes: vec![seen; cfg.classes.len()] }
+        let seen = (Stats::default(), vec![Stats::default(); max_cap(cfg) + 1]);
+        DirectFormula { cap: max_cap(cfg), classes: vec![seen; cfg.classes.len()] }
     }
 
     fn reset(&mut self, old: &Settings, new: &Settings) {
@@ -25,20 +25,20 @@
             if old.classes[c] != new.classes[c] {
                 (*arrivals, *levels) = Default::default();
             }
-            levels.resize(top(new) + 1, Stats::default());
+            levels.resize(max_cap(new) + 1, Stats::default());
         }
-        self.cap = if self.cap == top(old) { top(new) } else { self.cap.min(top(new)) };
+        self.cap = if self.cap == max_cap(old) { max_cap(new) } else { self.cap.min(max_cap(new)) };
     }
 
     fn choose(&mut self, cfg: &Settings, now: Ns) {
-        let top = top(cfg);
-        let mut scores = vec![0.0; top + 1];
+        let max_cap = max_cap(cfg);
+        let mut scores = vec![0.0; max_cap + 1];
         let mut all = 0.0;
         for ((arrivals, levels), class) in self.classes.iter().zip(&cfg.classes) {
             let share = arrivals.weight_at(now);
             all += share;
             let measured: Vec<usize> =
-                (1..=top).filter(|&l| levels[l].weight_at(now) >= MIN_WEIGHT).collect();
+                (1..=max_cap).filter(|&l| levels[l].weight_at(now) >= MIN_WEIGHT).collect();
             for (level, score) in scores.iter_mut().enumerate().skip(1) {
                 let meets = match measured.iter().min_by_key(|&&m| (m.abs_diff(level), m)) {
                     Some(&nearest) => levels[nearest].upper_bound(1.0) < class.target as f64,
@@ -49,7 +49,7 @@
                 }
             }
         }
-        let best = (1..=top).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
+        let best = (1..=max_cap).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
         if scores[best] <= 0.0 && all > MIN_WEIGHT {
             self.cap = 1;
         } else if scores[best] > scores[self.cap] * (1.0 + 1e-9) {
@@ -120,7 +120,7 @@
                 direct.classes[class].0.record(now, 1.0);
             }
             // After a change of slots, a call may have been sent at a level above the maximum.
-            let level = 1 + draws.under(top(&cfg) + 1);
+            let level = 1 + draws.under(max_cap(&cfg) + 1);
             let (outcome, reused_connection) = (draws.one_of(&OUTCOMES), draws.under(10) == 0);
             let took = draws.one_of(&[100 * MS, 900 * MS, 1_500 * MS, 2_500 * MS, 4_000 * MS]);
             let end = AttemptEnd {
@@ -139,7 +139,7 @@
             let counts = matches!(outcome, Served | ServerError | TurnedAway | NoAnswer | ConnectionLost);
             if counts && !reused_connection {
                 let x = if outcome == Outcome::Served { took } else { cfg.classes[class].target };
-                direct.classes[class].1[level.min(top(&cfg))].record(now, x as f64);
+                direct.classes[class].1[level.min(max_cap(&cfg))].record(now, x as f64);
             }
             dest.choose_cap(&cfg, now);
             direct.choose(&cfg, now);
--- a/crates/policy/src/decaying_stats.rs
+++ b/crates/policy/src/decaying_stats.rs
@@ -39,7 +39,7 @@
         self.sum / self.weight.max(1e-9)
     }
 
-    /// The mean plus so many standard deviations.
+    /// The mean plus `deviations` standard deviations.
     pub fn upper_bound(&self, deviations: f64) -> f64 {
         let variance = (self.sum_of_squares / self.weight.max(1e-9) - self.mean() * self.mean()).max(0.0);
         self.mean() + deviations * variance.sqrt()
--- a/crates/policy/src/rules/asking.rs
+++ b/crates/policy/src/rules/asking.rs
@@ -1,10 +1,10 @@
 //! Backoff of requests to service discovery. Any number of senders get its list within 5 s after it can be
-//! reached again. Of 510 senders that have lost it, a mean of 190 and at most 310 a second ask while they are
-//! refused, and 155 while they get no answer (each once in 3 s); 212 a second ask in normal operation.
+//! reached again. 510 senders that have lost it make a mean of 190 and at most 310 requests a second while
+//! they are refused, 155 while they get no answer (each one in 3 s), and 212 in normal operation.
 use crate::api::*;
 use crate::rng::Rng;
 
-/// Delay after a first failure, times the number of senders; doubled and quadrupled after further failures.
+/// Delay after a first failure, multiplied by the number of senders; doubled and quadrupled after more.
 const DELAY: Ns = 100 * MS;
 
 /// The delays before one sender's requests to discovery.
@@ -15,12 +15,12 @@
 }
 
 impl DiscoveryRetry {
-    /// From a request that fails to the next. Of the 5 s, 1 s is for a slow connection, 0.5 s for the answer.
+    /// From a failed request to the next. Of the 5 s, 1 s is for a slow connection, 0.5 s for the answer.
     pub const MAX_INTERVAL: Ns = 3_500 * MS;
     pub const SHORT_DELAY: Ns = 200 * MS;
 
     pub fn new(cfg: &Settings, seed: u64) -> DiscoveryRetry {
-        // Not the random numbers that the decisions use.
+        // A random sequence other than the one that the decisions use.
         DiscoveryRetry {
             rng: Rng::new(!seed),
             span: DELAY * cfg.n_instances.clamp(1, 100) as Ns,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Spreads senders at their start, or after a pause; short, as they must follow the current list at once.
+    /// Random delay at the start or after a pause, to spread senders; short, as they need the list at once.
     pub fn initial_delay(&mut self) -> Ns {
         (self.rng.uniform() * (self.span / 4).min(DiscoveryRetry::SHORT_DELAY) as f64) as Ns
     }
@@ -37,7 +37,7 @@
         self.failures = 0;
     }
 
-    /// The delay before the next request, after one that `took` so long has failed.
+    /// The delay before the next request after a failed one; `took` is the duration of the failed one.
     pub fn record_failure(&mut self, took: Ns) -> Ns {
         let span = (self.span << self.failures.min(2))
             .min((DiscoveryRetry::MAX_INTERVAL - took).max(DiscoveryRetry::SHORT_DELAY));
--- a/crates/policy/src/rules/caps.rs
+++ b/crates/policy/src/rules/caps.rs
@@ -1,7 +1,7 @@
 //! The cap on calls in flight to a destination, and the latency measurements that it is chosen by.
 use super::*;
 
-/// A call is overdue after the mean latency plus so many deviations; its timeout, if any, is twice that.
+/// A call is overdue after the mean latency plus this many deviations; its timeout, if any, is twice that.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 const MAX_AGE_FLOOR: Ns = 400 * MS;
 
@@ -32,7 +32,7 @@
         for (stats, class) in self.classes.iter().zip(&cfg.classes) {
             let (share, target) = (stats.arrivals.weight_at(now), class.target as f64);
             total_arrivals += share;
-            // Unmeasured levels borrow from the nearest; unmeasured classes meet their target up to the cap.
+            // Unmeasured levels use the nearest measured one; unmeasured classes are on target up to the cap.
             let meets = move |s: &Stats| if s.upper_bound(1.0) < target { share } else { 0.0 };
             let known = stats.levels.nearest(now, MIN_WEIGHT, max_cap).map(move |(last, s)| (last, meets(s)));
             spans.push(known.chain([(cap, share), (max_cap, 0.0)]));
--- a/crates/policy/src/rules/doubt.rs
+++ b/crates/policy/src/rules/doubt.rs
@@ -5,7 +5,7 @@
 /// Consecutive failures, or decaying share of failed calls, that put a route in doubt.
 const DOUBT_FAILURES: u32 = 3;
 const DOUBT_SHARE: f64 = 0.6;
-/// With so many senders each sees little of an outage: one failure less, or one `OUTAGE_WAIT`, is enough.
+/// With this many senders each sees little of an outage: one failure less, or one `OUTAGE_WAIT`, is enough.
 const MANY_SENDERS: usize = 10;
 const MIN_TRIAL_SPACING: Ns = 500 * MS;
 /// Share of failed calls that restarts the warm-up of a cold route.
@@ -13,16 +13,16 @@
 const BUDGET_SHARE: f64 = 0.7;
 
 impl Sender {
-    /// Records a symptom of an outage; enough of them put the route in doubt. `wait` is that of a failed
-    /// outcome; `None` is an overdue call, perhaps just slow: no warm-up. Harms where many errors are no
-    /// outage.
+    /// Records a symptom of an outage; enough of them put the route in doubt. `wait` is the wait requested by
+    /// a failed outcome; `None` means an overdue call, which may just be slow and starts no warm-up. Harmful
+    /// where frequent errors have other causes than an outage.
     pub(super) fn record_symptom(&mut self, id: RouteId, counts: bool, wait: Option<Ns>) {
         let (fair, many) = (self.fair_share(), self.cfg.n_instances >= MANY_SENDERS);
         let Some(route) = self.routes.get_mut(&id) else { return };
         if counts {
             route.failures += 1;
             route.failure_share = route.failure_share * 0.7 + 0.3;
-            // By the end of an outage each of many senders may have seen no more failures than this.
+            // With many senders, each may have seen just two failures by the end of an outage.
             if route.failures > 1 {
                 (route.share, route.share_at) = (route.share.min(fair), self.now);
             }
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Takes overdue calls as symptoms before their timeout, as calls with unsafe messages may have none.
-    /// Each counts once if its endpoint has served nothing since it was sent: of two endpoints one may hang
-    /// alone. Else only that call was lost: the endpoint is avoided, so its later silence is no symptom.
+    /// Counts overdue calls as symptoms before their timeout, as calls with unsafe messages may have none.
+    /// Each counts once, if its endpoint has served nothing since it was sent: one of two endpoints may hang
+    /// alone. Otherwise only that call was lost; the endpoint is avoided, so its later silence is no symptom.
     pub(super) fn check_overdue(&mut self) {
         let mut suspected = Vec::new();
         for call in self.calls.values_mut() {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// When the route may next be called; a time up to now means at once.
+    /// The earliest time of the route's next call; a time that is not in the future means at once.
     pub(super) fn ready_at(&mut self, id: RouteId) -> Ns {
         let (now, fair) = (self.now, self.fair_share());
         let Some(route) = self.routes.get_mut(&id) else { return Ns::MAX };
@@ -97,7 +97,7 @@
         (BUDGET_SHARE * cfg.overload_multiple * ability * capacity).max(0.15) / cfg.n_instances.max(1) as f64
     }
 
-    /// Sets, as a call is sent, when the next one may follow if the route is in doubt by then.
+    /// Called for each call sent: sets when the next one may follow if the route is in doubt by then.
     pub fn schedule_trial(&mut self, draw: f64, cfg: &Settings, now: Ns) {
         let spacing = (2e9 * draw / self.warm_up_rate(cfg, now)) as Ns;
         let max_spacing = SECOND * cfg.n_instances.max(3) as Ns;
--- a/crates/policy/src/rules/mod.rs
+++ b/crates/policy/src/rules/mod.rs
@@ -57,11 +57,11 @@
     key_queues: KeyQueues,
     /// Destinations with calls in flight or messages held; only these cost time in each period.
     pub(crate) active: BTreeSet<DestId>,
-    /// Destinations with messages held, by when a call may become possible; an event makes it now.
+    /// Destinations with messages held, by the time when a call may become possible; an event sets it to now.
     pub(crate) schedule: Schedule<DestId>,
     /// Endpoints that may have idle connections, by last use; first those whose calls have just ended.
     pub(crate) idle_endpoints: Schedule<EndpointId>,
-    /// Inactive destinations that still have records, by when these may be removed.
+    /// Inactive destinations that still have records, by the time when these may be removed.
     pub(crate) unused_dests: Schedule<DestId>,
     /// When another process handed over its routes.
     pub(crate) restored_at: Option<Ns>,
--- a/crates/policy/src/rules/pace.rs
+++ b/crates/policy/src/rules/pace.rs
@@ -3,18 +3,18 @@
 
 /// A requested wait of this length means an outage, not a rate limit.
 pub const OUTAGE_WAIT: Ns = 1_500 * MS;
-/// So many consecutive refusals mean an outage too, where no report says how much of the limit is left.
+/// This many consecutive refusals mean an outage too, if no report says how much of the limit is left.
 const OUTAGE_REFUSALS: u32 = 4;
-/// How long a report of the limit's use is valid; in as much again the fair share grows to the full limit.
+/// How long a report of the limit's use is valid; over as long again the fair share grows to the full limit.
 pub const REPORT_LIFETIME: Ns = 5 * SECOND;
-/// A refusal leaves this part of the fair share, and several leave at least the second; less among many
-/// senders. Some limits count refused calls too: no call is served until all senders ask for clearly less.
+/// Part of the fair share left after one refusal, and the minimum after several; less among many senders.
+/// Some limits count refused calls too: no call is served until all senders make clearly fewer calls.
 const REFUSAL_FACTOR: f64 = 0.8;
 const MIN_REFUSAL_FACTOR: f64 = 0.5;
-/// The share doubles per step after a refusal, over a few requested waits: a limit still used up shows then.
+/// The share doubles per step after a refusal, over a few requested waits, so that a used-up limit shows.
 const RECOVERY_STEP: Ns = SECOND;
-/// While allowance is left each answer multiplies the share by this power of the number of senders: it takes
-/// as many answers from the fair share to the full limit, however many senders there are.
+/// While allowance is left each answer multiplies the share by this power of the number of senders: growth
+/// from the fair share to the full limit then takes the same number of answers for any number of senders.
 const SHARE_RISE_EXPONENT: f64 = 0.045;
 
 /// The depth of the token bucket for a rate in calls per second.
--- a/crates/policy/src/rules/queue.rs
+++ b/crates/policy/src/rules/queue.rs
@@ -104,8 +104,8 @@
         at
     }
 
-    /// Until when every usable endpoint has asked to wait. A message that expires before that has no chance,
-    /// and is given up as soon as the wait is known.
+    /// When the first requested wait ends, if every usable endpoint has asked to wait. A message that expires
+    /// before that has no chance, and is given up as soon as the wait is known.
     fn waiting_until(&self, id: DestId) -> Ns {
         self.usable_routes(id).map(|r| r.wait_until).min().unwrap_or(LONG_AGO)
     }
@@ -121,7 +121,7 @@
         self.finish(id);
     }
 
-    /// After which time to submit a refused message again: the destination's next turn, behind any wait.
+    /// Delay before a refused message is submitted again: until the next turn, and past any requested wait.
     pub fn backoff(&self, dest: DestId) -> Ns {
         let turn = self.dests.get(&dest).map_or(0.0, |d| d.turn_interval(self.now));
         let wait = self.waiting_until(dest).saturating_sub(self.now);
--- a/crates/policy/tests/common/counting.rs
+++ b/crates/policy/tests/common/counting.rs
@@ -5,13 +5,13 @@
 
 pub struct Counting {
     held: AtomicUsize,
-    most: AtomicUsize,
+    peak: AtomicUsize,
     calls: AtomicUsize,
 }
 
 impl Counting {
     pub const fn new() -> Counting {
-        Counting { held: AtomicUsize::new(0), most: AtomicUsize::new(0), calls: AtomicUsize::new(0) }
+        Counting { held: AtomicUsize::new(0), peak: AtomicUsize::new(0), calls: AtomicUsize::new(0) }
     }
 
     /// Bytes held now.
@@ -20,8 +20,8 @@
     }
 
     /// The maximum of bytes held since the last call of this function.
-    pub fn most(&self) -> usize {
-        self.most.swap(self.held(), Relaxed)
+    pub fn peak(&self) -> usize {
+        self.peak.swap(self.held(), Relaxed)
     }
 
     /// Allocations so far.
@@ -35,7 +35,7 @@
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         self.calls.fetch_add(1, Relaxed);
         let held = self.held.fetch_add(layout.size(), Relaxed) + layout.size();
-        self.most.fetch_max(held, Relaxed);
+        self.peak.fetch_max(held, Relaxed);
         System.alloc(layout)
     }
 
--- a/crates/policy/tests/memory.rs
+++ b/crates/policy/tests/memory.rs
@@ -39,7 +39,7 @@
 }
 
 /// The mean number of allocations for one changed entry.
-fn change(harness: &mut Harness) -> f64 {
+fn allocations_per_change(harness: &mut Harness) -> f64 {
     let (count, before) = (200, MEMORY.calls());
     for i in 0..count {
         let condition = if i % 2 == 0 { Condition::Draining } else { Condition::Ready };
@@ -55,14 +55,14 @@
 fn memory_grows_with_use_and_is_freed_afterwards() {
     let per = |bytes: usize, count: u64| bytes as f64 / count as f64;
     let mut small = Harness::new(cfg(), &list(30, 30));
-    let few = change(&mut small);
+    let few = allocations_per_change(&mut small);
     drop(small);
     let entries = list(DESTS, ENDPOINTS);
     let empty = MEMORY.held();
     let mut harness = Harness::new(cfg(), &entries);
     let listed = MEMORY.held() - empty;
     assert!(per(listed, ENDPOINTS) < 130.0, "{:.0} bytes for a listed endpoint", per(listed, ENDPOINTS));
-    let many = change(&mut harness);
+    let many = allocations_per_change(&mut harness);
     assert!(many <= few * 1.5, "allocations for a changed entry: {few} of 30, {many} of {DESTS}");
     // The same list again takes nothing more.
     harness.handle(vec![Event::List { complete: true, entries: entries.clone() }]);
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -16,7 +16,7 @@
 }
 
 /// Sends `at_level` messages at once and serves each after `took`.
-fn load(harness: &mut Harness, next: &mut u64, at_level: usize, took: Ns) {
+fn serve_at_level(harness: &mut Harness, next: &mut u64, at_level: usize, took: Ns) {
     let first = *next;
     let events = (0..at_level as u64).map(|i| Event::Message(message(first + i, 1, 0))).collect();
     let sent = sends(&harness.handle(events));
@@ -32,11 +32,11 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
     let mut next = 0;
     for _ in 0..3 {
-        load(&mut harness, &mut next, 1, 200 * MS);
+        serve_at_level(&mut harness, &mut next, 1, 200 * MS);
     }
     // Nine at once take 3 s: levels near nine miss the target of 2 s; level 1, and levels nearest to it, meet
     // it.
-    load(&mut harness, &mut next, 9, 3 * SECOND);
+    serve_at_level(&mut harness, &mut next, 9, 3 * SECOND);
     harness.advance(200 * MS);
     let burst = (0..9).map(|i| Event::Message(message(1_000 + i, 1, 0))).collect();
     let sent = sends(&harness.handle(burst)).len();
@@ -48,7 +48,7 @@
     // Once the slow measurements have decayed, these levels are unmeasured and count as the quick ones.
     for _ in 0..60 {
         harness.now += 500 * MS;
-        load(&mut harness, &mut next, 1, 100 * MS);
+        serve_at_level(&mut harness, &mut next, 1, 100 * MS);
     }
     harness.advance(200 * MS);
     let burst = (0..12).map(|i| Event::Message(message(2_000 + i, 1, 0))).collect();
@@ -60,7 +60,7 @@
     let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
     let mut next = 0;
     for _ in 0..10 {
-        load(&mut harness, &mut next, 1, 200 * MS);
+        serve_at_level(&mut harness, &mut next, 1, 200 * MS);
     }
     harness.submit(message(500, 1, 1));
     harness.now += 50 * MS;
@@ -726,11 +726,11 @@
 
 #[test]
 fn hundreds_of_senders_keep_the_overload_budget_of_one_small_returning_destination() {
-    return_budget(false);
-    return_budget(true);
+    check_budget_after_outage(false);
+    check_budget_after_outage(true);
 }
 
-fn return_budget(hints: bool) {
+fn check_budget_after_outage(hints: bool) {
     let n = 300;
     let limit = 4.0;
     let mut times = Vec::new();
