--- a/crates/node/src/store/endpoints.rs
+++ b/crates/node/src/store/endpoints.rs
@@ -112,7 +112,7 @@
     ) -> (SocketAddr, Option<String>, usize) {
         let endpoint = &mut self.services.get_mut(service).expect("was picked")[index];
         endpoint.in_flight += 1;
-        endpoint.admission.arrived(class, now);
+        endpoint.admission.record_arrival(class, now);
         (endpoint.address, endpoint.id.clone(), endpoint.in_flight)
     }
 
@@ -121,9 +121,9 @@
         let Some(endpoint) = self.find(call) else { return };
         let (now, ns) = clock;
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        endpoint.admission.book(outcome, ns - call.started_at_ns, call.class, call.concurrency, ns);
+        endpoint.admission.record_end(outcome, ns - call.started_at_ns, call.class, call.concurrency, ns);
         if let Some(slots) = slots.filter(|slots| *slots > 0 && *slots != endpoint.admission.slots()) {
-            endpoint.admission.change(slots, &call.classes);
+            endpoint.admission.reconfigure(slots, &call.classes);
         }
         match outcome {
             Outcome::Served | Outcome::ServerError => endpoint.failures = 0,
@@ -153,7 +153,7 @@
         let endpoints = self.services.values_mut().flatten();
         endpoints
             .filter(|endpoint| endpoint.in_flight > 0)
-            .for_each(|endpoint| endpoint.admission.choose(now));
+            .for_each(|endpoint| endpoint.admission.update_cap(now));
     }
 
     /// When the backoff of a service's next endpoint ends.
@@ -236,7 +236,7 @@
             avoid_until: 0,
         });
         let slots = slots.unwrap_or(endpoint.admission.slots());
-        endpoint.admission.change(slots, classes);
+        endpoint.admission.reconfigure(slots, classes);
         (endpoint.draining, endpoint.connections) = (draining, connections);
         endpoints.push(endpoint);
     };
--- a/crates/policy/tests/common/counting.rs
+++ b/crates/policy/tests/common/counting.rs
@@ -1,17 +1,17 @@
-//! An allocator that counts, for what memory is held and how often it is asked for.
+//! An allocator that counts the bytes held and the allocations.
 #![allow(dead_code)]
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 pub struct Counting {
     held: AtomicUsize,
-    most: AtomicUsize,
+    peak: AtomicUsize,
     calls: AtomicUsize,
 }
 
 impl Counting {
     pub const fn new() -> Counting {
-        Counting { held: AtomicUsize::new(0), most: AtomicUsize::new(0), calls: AtomicUsize::new(0) }
+        Counting { held: AtomicUsize::new(0), peak: AtomicUsize::new(0), calls: AtomicUsize::new(0) }
     }
 
     /// Bytes held now.
@@ -19,9 +19,9 @@
         self.held.load(Relaxed)
     }
 
-    /// The most bytes held at once since the last call.
-    pub fn most(&self) -> usize {
-        self.most.swap(self.held(), Relaxed)
+    /// The maximum of bytes held since the last call of this function.
+    pub fn peak(&self) -> usize {
+        self.peak.swap(self.held(), Relaxed)
     }
 
     /// Allocations so far.
@@ -30,12 +30,12 @@
     }
 }
 
-// SAFETY: all is left to the system's allocator; only the sizes are added up.
+// SAFETY: all requests go to the system allocator; only sizes are added up.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         self.calls.fetch_add(1, Relaxed);
         let held = self.held.fetch_add(layout.size(), Relaxed) + layout.size();
-        self.most.fetch_max(held, Relaxed);
+        self.peak.fetch_max(held, Relaxed);
         System.alloc(layout)
     }
 
