--- a/crates/node/src/store/shutdown.rs
+++ b/crates/node/src/store/shutdown.rs
@@ -140,7 +140,7 @@
     /// Retires this store: finishes deliveries and replicates all that others need. `since_started` tells
     /// whether retirement was requested during the life of this process.
     pub(super) async fn retire(self: Rc<Self>, since_started: bool) {
-        log::info!("store retires");
+        log::info!("retires");
         self.draining.set(true);
         if !since_started {
             // An earlier process may have reported that it is ready, so the successor may have started.
