--- a/crates/lease/src/duty.rs
+++ b/crates/lease/src/duty.rs
@@ -12,25 +12,25 @@
     /// The lease's length; the store counts in seconds.
     pub ttl: Ms,
     /// Clocks may run at rates that differ by this part, in percent; part of a lease that is not used.
-    pub drift: u64,
+    pub clock_drift_percent: u64,
     /// After a failure the next try waits so long, and up to twice that.
-    pub retry: Ms,
+    pub retry_delay: Ms,
 }
 
 /// What is to be asked of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum StoreRequest {
     Grant {
         seconds: u64,
     },
     /// Puts the key with the lease unless it is there; the answer has its create revision in either case.
-    Enter {
+    Register {
         lease: i64,
         key: String,
         value: String,
     },
     /// All candidates.
-    Read {
+    List {
         prefix: String,
     },
     /// Answered once the key is deleted after that revision.
@@ -49,28 +49,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub key: String,
-    pub created: i64,
+    pub create_revision: i64,
     pub value: String,
 }
 
 /// What the store has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum StoreReply {
     Granted {
         lease: i64,
         seconds: u64,
     },
-    Entered {
-        created: i64,
+    Registered {
+        create_revision: i64,
     },
     Candidates {
-        all: Vec<Candidate>,
+        candidates: Vec<Candidate>,
         revision: i64,
     },
     /// What was watched is gone, or can't be watched from there any more.
-    Changed,
+    WatchEnded,
     /// For so long from now; 0 if it is no more.
-    Alive {
+    Renewed {
         seconds: u64,
     },
     Revoked,
@@ -81,9 +81,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// It does not want the duty.
-    Off,
+    Idle,
     /// It has no lease, or has not entered with it.
-    Entering,
+    Registering,
     /// Another has it.
     Waiting,
     Holding,
@@ -92,7 +92,7 @@
 /// For logs and history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    Held(i64),
+    Acquired(i64),
     Resigned(i64),
     /// The lease ran out, the store has ended it, or it could not be renewed in time.
     Lost(i64),
@@ -133,7 +133,7 @@
     pub changes: Vec<Change>,
 }
 
-type Out = Vec<(u64, Ask)>;
+type Out = Vec<(u64, StoreRequest)>;
 
 impl Duty {
     pub fn new(config: Config, seed: u64) -> Duty {
@@ -163,29 +163,29 @@
             if let (Step::Holding, Some(token)) = (self.step, lease.token) {
                 self.changes.push(Change::Resigned(token));
             }
-            self.ask(Ask::Revoke { lease: lease.id }, out);
+            self.ask(StoreRequest::Revoke { lease: lease.id }, out);
         }
         (self.step, self.renewing) = (Step::Rest(0), None);
     }
 
     pub fn stage(&self) -> Stage {
         match (self.wanted, self.step) {
-            (false, _) => Stage::Off,
+            (false, _) => Stage::Idle,
             (_, Step::Holding) => Stage::Holding,
             (_, Step::Watching { .. }) => Stage::Waiting,
-            _ => Stage::Entering,
+            _ => Stage::Registering,
         }
     }
 
     /// The fencing token and its key, if the duty is held at this moment: to be asked before each act. Every write made
     /// under the duty is on condition that the key still has this create revision.
-    pub fn holds(&self, now: Ms) -> Option<(i64, String)> {
+    pub fn held_token(&self, now: Ms) -> Option<(i64, String)> {
         let lease = self.lease.filter(|lease| self.step == Step::Holding && now < lease.until)?;
         Some((lease.token?, self.key(lease.id)))
     }
 
     /// How much longer the lease can be counted on.
-    pub fn left(&self, now: Ms) -> Ms {
+    pub fn remaining(&self, now: Ms) -> Ms {
         self.lease.map_or(0, |lease| lease.until.saturating_sub(now))
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// A write was turned down for the token: the store has the last word.
-    pub fn fenced(&mut self, now: Ms, token: i64) {
+    pub fn handle_fenced_write(&mut self, now: Ms, token: i64) {
         if self.lease.is_some_and(|l| l.token == Some(token)) {
             self.lose(now);
         }
     }
 
-    pub fn wake(&self) -> Ms {
+    pub fn next_deadline(&self) -> Ms {
         let step = match self.step {
             Step::Rest(at) if self.wanted => at,
             Step::Asked { at, .. } => at + self.config.ttl,
@@ -214,27 +214,27 @@
         step.min(renew)
     }
 
-    fn ask(&mut self, ask: Ask, out: &mut Out) -> u64 {
+    fn ask(&mut self, ask: StoreRequest, out: &mut Out) -> u64 {
         self.number += 1;
         out.push((self.number, ask));
         self.number
     }
 
-    fn ask_next(&mut self, now: Ms, ask: Ask, out: &mut Out) {
+    fn ask_next(&mut self, now: Ms, ask: StoreRequest, out: &mut Out) {
         let number = self.ask(ask, out);
         self.step = Step::Asked { number, at: now };
     }
 
     /// Candidates that failed together don't come back together.
     fn rest(&mut self, now: Ms) {
-        let more = self.random.random_range(0..self.config.retry.max(1));
-        self.step = Step::Rest(now + self.config.retry + more);
+        let more = self.random.random_range(0..self.config.retry_delay.max(1));
+        self.step = Step::Rest(now + self.config.retry_delay + more);
     }
 
     /// Until when a lease of so long lasts on this clock at the least, if it was asked for at that time.
     fn until(&self, asked: Ms, seconds: u64) -> Ms {
         let length = seconds * 1_000;
-        asked + length - length * self.config.drift.min(90) / 100
+        asked + length - length * self.config.clock_drift_percent.min(90) / 100
     }
 
     fn lose(&mut self, now: Ms) {
@@ -254,11 +254,11 @@
             if now >= lease.until {
                 self.lose(now);
                 // The store may still have it for a while; others need not wait for that.
-                self.ask(Ask::Revoke { lease: lease.id }, out);
+                self.ask(StoreRequest::Revoke { lease: lease.id }, out);
                 return;
             }
             if now >= lease.renew_at && self.renewing.is_none() {
-                let number = self.ask(Ask::KeepAlive { lease: lease.id }, out);
+                let number = self.ask(StoreRequest::KeepAlive { lease: lease.id }, out);
                 self.renewing = Some((number, now));
             }
         }
@@ -273,17 +273,17 @@
     /// The next step from what is known.
     fn go_on(&mut self, now: Ms, out: &mut Out) {
         let ask = match self.lease {
-            None => Ask::Grant { seconds: self.config.ttl / 1_000 },
+            None => StoreRequest::Grant { seconds: self.config.ttl / 1_000 },
             Some(Lease { id, token: None, .. }) => {
-                Ask::Enter { lease: id, key: self.key(id), value: self.config.value.clone() }
+                StoreRequest::Register { lease: id, key: self.key(id), value: self.config.value.clone() }
             }
-            Some(_) => Ask::Read { prefix: self.config.prefix.clone() },
+            Some(_) => StoreRequest::List { prefix: self.config.prefix.clone() },
         };
         self.ask_next(now, ask, out);
     }
 
     /// The store's answer to a question.
-    pub fn told(&mut self, now: Ms, number: u64, told: Told, out: &mut Out) {
+    pub fn handle_reply(&mut self, now: Ms, number: u64, told: StoreReply, out: &mut Out) {
         if let Some((_, asked)) = self.renewing.filter(|(n, _)| *n == number) {
             self.renewing = None;
             return self.renewed(now, asked, told);
@@ -293,7 +293,7 @@
             Step::Watching { number: n } if n == number => {
                 // Whatever has come of it: who is before this one is asked anew, at once if that one has gone.
                 match told {
-                    Told::Changed => self.go_on(now, out),
+                    StoreReply::WatchEnded => self.go_on(now, out),
                     _ => self.rest(now),
                 }
                 return;
@@ -301,40 +301,42 @@
             _ => return self.late(told, out),
         };
         match (told, self.lease) {
-            (Told::Granted { lease, seconds }, None) if self.wanted => {
+            (StoreReply::Granted { lease, seconds }, None) if self.wanted => {
                 let until = self.until(asked, seconds);
                 let renew_at = asked + seconds * 1_000 / 3;
                 self.lease = Some(Lease { id: lease, until, renew_at, token: None });
                 self.go_on(now, out);
             }
-            (Told::Entered { created }, Some(mut lease)) => {
-                lease.token = Some(created);
+            (StoreReply::Registered { create_revision }, Some(mut lease)) => {
+                lease.token = Some(create_revision);
                 self.lease = Some(lease);
                 self.go_on(now, out);
             }
-            (Told::Candidates { all, revision }, Some(lease)) => self.placed(now, &lease, all, revision, out),
+            (StoreReply::Candidates { candidates, revision }, Some(lease)) => {
+                self.placed(now, &lease, candidates, revision, out)
+            }
             // Not known, or out of place: what is so is read again.
             _ => self.rest(now),
         }
     }
 
     /// An answer that nobody waits for any more; a lease that came too late would stand for nothing.
-    fn late(&mut self, told: Told, out: &mut Out) {
-        if let Told::Granted { lease, .. } = told {
-            self.ask(Ask::Revoke { lease }, out);
+    fn late(&mut self, told: StoreReply, out: &mut Out) {
+        if let StoreReply::Granted { lease, .. } = told {
+            self.ask(StoreRequest::Revoke { lease }, out);
         }
     }
 
-    fn renewed(&mut self, now: Ms, asked: Ms, told: Told) {
+    fn renewed(&mut self, now: Ms, asked: Ms, told: StoreReply) {
         let Some(mut lease) = self.lease else { return };
         match told {
-            Told::Alive { seconds: 0 } => return self.lose(now),
-            Told::Alive { seconds } => {
+            StoreReply::Renewed { seconds: 0 } => return self.lose(now),
+            StoreReply::Renewed { seconds } => {
                 lease.until = self.until(asked, seconds);
                 lease.renew_at = asked + seconds * 1_000 / 3;
             }
             // It is tried again soon, as long as there is time.
-            _ => lease.renew_at = now + self.config.retry,
+            _ => lease.renew_at = now + self.config.retry_delay,
         }
         self.lease = Some(lease);
     }
@@ -345,16 +347,17 @@
         let Some(own) = all.iter().find(|c| c.key == key) else {
             return self.lose(now);
         };
-        let before = all.iter().filter(|c| c.created < own.created).max_by_key(|c| c.created);
+        let before =
+            all.iter().filter(|c| c.create_revision < own.create_revision).max_by_key(|c| c.create_revision);
         match before {
             Some(before) => {
-                let number = self.ask(Ask::Watch { key: before.key.clone(), after: revision }, out);
+                let number = self.ask(StoreRequest::Watch { key: before.key.clone(), after: revision }, out);
                 self.step = Step::Watching { number };
             }
             None => {
-                self.lease = Some(Lease { token: Some(own.created), ..*lease });
+                self.lease = Some(Lease { token: Some(own.create_revision), ..*lease });
                 self.step = Step::Holding;
-                self.changes.push(Change::Held(own.created));
+                self.changes.push(Change::Acquired(own.create_revision));
             }
         }
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -5,8 +5,8 @@
 mod duty;
 mod permits;
 
-pub use duty::{Ask, Candidate, Change, Config, Duty, Stage, Told};
-pub use permits::{grants, Request};
+pub use duty::{Candidate, Change, Config, Duty, Stage, StoreReply, StoreRequest};
+pub use permits::{next_permit, DrainRequest};
 
 /// Milliseconds on a clock that only rises.
 pub type Ms = u64;
--- a/crates/membership/examples/standing_figures.rs
+++ b/crates/membership/examples/standing_figures.rs
@@ -3,7 +3,7 @@
 //! Three thousand members take some minutes.
 #[path = "../tests/network/mod.rs"]
 mod network;
-use membership::{Standing, State};
+use membership::{MemberState, Standing};
 use network::{id, Dice, Net, INTERVAL};
 
 fn spread(mut values: Vec<f64>) -> String {
@@ -57,18 +57,18 @@
         net.bytes = 0;
         // One in a hundred a minute, by turns killed and restarted in order; never a seed, to keep the model simple.
         let each = 60.0 * 100.0 / n as f64;
-        let (mut next, mut life) = (0.0, 1);
+        let (mut next, mut generation) = (0.0, 1);
         let rounds = 240.max((2.0 * each) as u64);
         for round in 0..rounds {
             while round as f64 >= next {
                 next += each;
-                life += 1;
+                generation += 1;
                 let one = 2 + dice.below(n as u64 - 2) as usize;
-                match life % 2 {
+                match generation % 2 {
                     0 => net.kill(one),
                     _ => net.leave(one),
                 }
-                net.start(one, id(one, life), &[0, 1]);
+                net.start(one, id(one, generation), &[0, 1]);
             }
             net.rounds(1);
         }
@@ -92,7 +92,7 @@
         net.rounds(1);
         for m in 0..n {
             for (of, was) in seen[m].iter_mut().enumerate() {
-                let is = net.state(m, &id(of, 1)) == Some(State::Failed);
+                let is = net.state(m, &id(of, 1)) == Some(MemberState::Failed);
                 failed += u64::from(is && !std::mem::replace(was, is));
                 *was = is;
             }
--- a/crates/membership/examples/start_figures.rs
+++ b/crates/membership/examples/start_figures.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p membership --example start_figures [SIZE [SEEDS]]
 #[path = "../tests/network/mod.rs"]
 mod network;
-use membership::{Place, Roster};
+use membership::{EntryStatus, Roster};
 use network::{address, id, Net};
 
 /// Bytes a member and round that a fleet at rest stays under.
@@ -15,7 +15,7 @@
 
 fn play(n: usize, seed: u64) {
     let mut roster = Roster::default();
-    (0..n).for_each(|m| _ = roster.set(&id(m, 1).name, Place::Expected, address(m)));
+    (0..n).for_each(|m| _ = roster.set(&id(m, 1).name, EntryStatus::Expected, address(m)));
     let mut net = Net::new(seed);
     net.rosters = (0..n).map(|m| (m, roster.clone())).collect();
     (0..n).for_each(|m| net.start(m, id(m, 1), &[0, 1, 2]));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,10 +10,12 @@
 mod wire;
 mod words;
 
-pub use node::{Config, Dropped, Node, Refused, View};
-pub use roster::{Entry, Place, Roster, Unreadable};
-pub use standing::{Allowed, Held, Standing};
-pub use wire::{Id, Ill, State, Update, LONGEST, MAX_NAME, VERSION};
+pub use node::{Config, DropCounts, MemberView, Node, StrikeError};
+pub use roster::{EntryStatus, Roster, RosterEntry, RosterError};
+pub use standing::{Permissions, Standing, StandingTracker};
+pub use wire::{
+    Impairment, MemberId, MemberState, MemberUpdate, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, PROTOCOL_VERSION,
+};
 
 /// Milliseconds on a clock that only rises.
 pub type Ms = u64;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,7 +1,7 @@
 //! All that are known, and what follows from them: kept up as one of them changes, so that no datagram and no round walks
 //! through all of them.
 use crate::digest::{self, Digests};
-use crate::wire::{version_read, Id, Said, State};
+use crate::wire::{version_read, MemberId, MemberState, Said};
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     pub address: SocketAddr,
     pub version: String,
     pub incarnation: u32,
-    pub state: State,
+    pub state: MemberState,
     pub by: String,
     pub since: Ms,
     /// When it was first heard of.
@@ -33,11 +33,11 @@
 
 impl Member {
     pub fn is_present(&self) -> bool {
-        self.state <= State::Suspect
+        self.state <= MemberState::Suspect
     }
 
     /// The form of datagrams that it understands.
-    pub fn form(&self) -> u8 {
+    pub fn protocol_version(&self) -> u8 {
         version_read(&self.version).1
     }
 
@@ -49,7 +49,7 @@
     /// It could say whether it is in the roster, and that is not known: who does not know a member yet writes to it in the
     /// first form, which does not tell.
     fn is_untold(&self) -> bool {
-        self.state == State::Alive && self.is_in.is_none() && self.form() > 1
+        self.state == MemberState::Alive && self.is_in.is_none() && self.protocol_version() > 1
     }
 
     /// What it makes of the roster is all of one.
@@ -90,13 +90,13 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Sums {
     /// By state, each in the order of members.
-    by_state: [Vec<Id>; 4],
+    by_state: [Vec<MemberId>; 4],
     /// Suspects, by how many have confirmed it and since when they are.
-    suspects: [BTreeSet<(Ms, Id)>; CONFIRMED + 1],
+    suspects: [BTreeSet<(Ms, MemberId)>; CONFIRMED + 1],
     /// Those that failed or left, by when they did.
-    ended: BTreeSet<(Ms, Id)>,
+    ended: BTreeSet<(Ms, MemberId)>,
     /// Those that live and understand the second form, and of whom it is not known whether they are in the roster.
-    untold: BTreeSet<Id>,
+    untold: BTreeSet<MemberId>,
     addresses: BTreeMap<SocketAddr, Reached>,
     names: BTreeMap<String, Named>,
     /// Names that are expected and not heard of.
@@ -115,7 +115,7 @@
 
 impl Sums {
     fn counts(&self, member: &Member) -> bool {
-        let doubted = member.state == State::Suspect && Some(member.since) <= self.doubted;
+        let doubted = member.state == MemberState::Suspect && Some(member.since) <= self.doubted;
         member.is_present() && member.is_in == Some(true) && !doubted
     }
 
@@ -141,15 +141,15 @@
         }
     }
 
-    fn enter(&mut self, id: &Id, member: &Member) {
+    fn enter(&mut self, id: &MemberId, member: &Member) {
         let same = &mut self.by_state[member.state as usize];
         if let Err(at) = same.binary_search(id) {
             same.insert(at, id.clone());
         }
         match member.state {
-            State::Alive => {}
-            State::Suspect => _ = self.suspects[member.confirmed()].insert((member.since, id.clone())),
-            State::Failed | State::Left => _ = self.ended.insert((member.since, id.clone())),
+            MemberState::Alive => {}
+            MemberState::Suspect => _ = self.suspects[member.confirmed()].insert((member.since, id.clone())),
+            MemberState::Failed | MemberState::Left => _ = self.ended.insert((member.since, id.clone())),
         }
         let (present, counts) = (u32::from(member.is_present()), u32::from(self.counts(member)));
         if member.is_untold() {
@@ -157,7 +157,7 @@
         }
         let reached = self.addresses.entry(member.address).or_default();
         reached.present += present;
-        reached.second_form += u32::from(member.form() > 1 && member.state != State::Left);
+        reached.second_form += u32::from(member.protocol_version() > 1 && member.state != MemberState::Left);
         self.with_name(&id.name, |n| {
             n.present += present;
             n.counting += counts;
@@ -170,15 +170,15 @@
         }
     }
 
-    fn leave(&mut self, id: &Id, member: &Member) {
+    fn leave(&mut self, id: &MemberId, member: &Member) {
         let same = &mut self.by_state[member.state as usize];
         if let Ok(at) = same.binary_search(id) {
             same.remove(at);
         }
         match member.state {
-            State::Alive => {}
-            State::Suspect => _ = self.suspects[member.confirmed()].remove(&(member.since, id.clone())),
-            State::Failed | State::Left => _ = self.ended.remove(&(member.since, id.clone())),
+            MemberState::Alive => {}
+            MemberState::Suspect => _ = self.suspects[member.confirmed()].remove(&(member.since, id.clone())),
+            MemberState::Failed | MemberState::Left => _ = self.ended.remove(&(member.since, id.clone())),
         }
         let (present, counts) = (u32::from(member.is_present()), u32::from(self.counts(member)));
         if member.is_untold() {
@@ -186,7 +186,8 @@
         }
         if let Some(reached) = self.addresses.get_mut(&member.address) {
             reached.present -= present;
-            reached.second_form -= u32::from(member.form() > 1 && member.state != State::Left);
+            reached.second_form -=
+                u32::from(member.protocol_version() > 1 && member.state != MemberState::Left);
             if *reached == Reached::default() {
                 self.addresses.remove(&member.address);
             }
@@ -213,51 +214,51 @@
 }
 
 /// What the view's sums have of one life.
-pub fn life_digest(id: &Id) -> u64 {
-    digest::of(&id.name, &[id.life])
+pub fn life_digest(id: &MemberId) -> u64 {
+    digest::of(&id.name, &[id.generation])
 }
 
 /// Those of all times from the first to before the second.
-fn between(times: Range<Ms>) -> Range<(Ms, Id)> {
-    let least = Id { name: String::new(), life: 0 };
+fn between(times: Range<Ms>) -> Range<(Ms, MemberId)> {
+    let least = MemberId { name: String::new(), generation: 0 };
     (times.start, least.clone())..(times.end, least)
 }
 
 #[derive(Default)]
 pub struct Members {
-    all: BTreeMap<Id, Member>,
+    all: BTreeMap<MemberId, Member>,
     sums: Sums,
 }
 
 impl Members {
-    pub fn get(&self, id: &Id) -> Option<&Member> {
+    pub fn get(&self, id: &MemberId) -> Option<&Member> {
         self.all.get(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&Id, &Member)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&MemberId, &Member)> {
         self.all.iter()
     }
 
     /// The lives of one name, without the own one.
-    pub fn named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = (&'a Id, &'a Member)> {
-        let first = Id { name: name.to_string(), life: 0 };
+    pub fn named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = (&'a MemberId, &'a Member)> {
+        let first = MemberId { name: name.to_string(), generation: 0 };
         self.all.range(first..).take_while(move |(id, _)| id.name == name)
     }
 
-    pub fn insert(&mut self, id: Id, member: Member) {
+    pub fn insert(&mut self, id: MemberId, member: Member) {
         self.remove(&id);
         self.sums.enter(&id, &member);
         self.all.insert(id, member);
     }
 
-    pub fn remove(&mut self, id: &Id) -> Option<Member> {
+    pub fn remove(&mut self, id: &MemberId) -> Option<Member> {
         let member = self.all.remove(id)?;
         self.sums.leave(id, &member);
         Some(member)
     }
 
     /// Changes what is known of one.
-    pub fn change(&mut self, id: &Id, change: impl FnOnce(&mut Member)) {
+    pub fn change(&mut self, id: &MemberId, change: impl FnOnce(&mut Member)) {
         if let Some(member) = self.all.get_mut(id) {
             self.sums.leave(id, member);
             change(member);
@@ -266,7 +267,7 @@
     }
 
     /// Notes what one makes of the fleet by its own word, as comes with every datagram.
-    pub fn hear(&mut self, id: &Id, said: Said, agrees: bool, now: Ms) {
+    pub fn hear(&mut self, id: &MemberId, said: Said, agrees: bool, now: Ms) {
         let Some(member) = self.all.get_mut(id) else { return };
         let old = member.latest();
         member.heard = Some(said);
@@ -299,7 +300,7 @@
         let old = std::mem::replace(&mut self.sums.doubted, since);
         let after = |at: Option<Ms>| at.map_or(0, |at| at + 1);
         let (first, end) = (after(old.min(since)), after(old.max(since)));
-        let turned: Vec<Id> = self
+        let turned: Vec<MemberId> = self
             .sums
             .suspects
             .iter()
@@ -316,17 +317,18 @@
     /// Since when the next suspect to be doubted has been one.
     pub fn next_doubt(&self) -> Option<Ms> {
         let first = self.sums.doubted.map_or(0, |at| at + 1);
-        let next = |same: &BTreeSet<(Ms, Id)>| same.range(between(first..Ms::MAX)).next().map(|(at, _)| *at);
+        let next =
+            |same: &BTreeSet<(Ms, MemberId)>| same.range(between(first..Ms::MAX)).next().map(|(at, _)| *at);
         self.sums.suspects.iter().filter_map(next).min()
     }
 
     /// How many but the own life are thought to live.
     pub fn present(&self) -> usize {
-        self.of_state(State::Alive).len() + self.of_state(State::Suspect).len()
+        self.of_state(MemberState::Alive).len() + self.of_state(MemberState::Suspect).len()
     }
 
     /// In the order of members.
-    pub fn of_state(&self, state: State) -> &[Id] {
+    pub fn of_state(&self, state: MemberState) -> &[MemberId] {
         &self.sums.by_state[state as usize]
     }
 
@@ -338,7 +340,7 @@
 
     /// Suspects whose time is over, in the order of members; `lasts`: how long one may be suspect that so many have
     /// confirmed.
-    pub fn suspects_over(&self, now: Ms, lasts: impl Fn(usize) -> Ms) -> Vec<Id> {
+    pub fn suspects_over(&self, now: Ms, lasts: impl Fn(usize) -> Ms) -> Vec<MemberId> {
         let mut over = Vec::new();
         for (confirmed, same) in self.sums.suspects.iter().enumerate().filter(|(_, same)| !same.is_empty()) {
             let lasts = lasts(confirmed);
@@ -349,15 +351,15 @@
     }
 
     /// Those that failed or left then or before, in the order of members.
-    pub fn ended(&self, until: Ms) -> Vec<Id> {
-        let mut ended: Vec<Id> =
+    pub fn ended(&self, until: Ms) -> Vec<MemberId> {
+        let mut ended: Vec<MemberId> =
             self.sums.ended.range(between(0..until + 1)).map(|(_, id)| id.clone()).collect();
         ended.sort();
         ended
     }
 
     /// Those of whom it is not known whether they are in the roster, and who could say.
-    pub fn untold(&self) -> &BTreeSet<Id> {
+    pub fn untold(&self) -> &BTreeSet<MemberId> {
         &self.sums.untold
     }
 
--- a/crates/membership/src/node/joining.rs
+++ b/crates/membership/src/node/joining.rs
@@ -19,26 +19,26 @@
 
 /// Why a name is not struck off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum StrikeError {
     /// The roster does not expect it.
-    Unknown,
+    NotExpected,
     /// It is heard of.
     Present,
     /// Those who are not heard of may be the greater part: struck off here, they would be one of two.
-    TwoMajorities,
+    NoMajority,
     /// A change before this one is not known to most yet.
-    Unsettled,
+    ChangePending,
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for StrikeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Refused::Unknown => "it is not expected",
-            Refused::Present => "it is present",
-            Refused::TwoMajorities => {
+            StrikeError::NotExpected => "it is not expected",
+            StrikeError::Present => "it is present",
+            StrikeError::NoMajority => {
                 "this sender is in no majority: those that it does not hear may be one, and there would be two"
             }
-            Refused::Unsettled => "a change before this one is not known to most yet: try again",
+            StrikeError::ChangePending => "a change before this one is not known to most yet: try again",
         })
     }
 }
@@ -46,21 +46,21 @@
 impl Node {
     /// Takes a name out of the roster that is gone for good. `vouched`: whoever asks knows that none of those who are not
     /// heard of lives.
-    pub fn strike(&mut self, name: &str, vouched: bool, out: &mut Out) -> Result<(), Refused> {
+    pub fn strike(&mut self, name: &str, vouched: bool, out: &mut Out) -> Result<(), StrikeError> {
         if !self.roster.expects(name) {
-            return Err(Refused::Unknown);
+            return Err(StrikeError::NotExpected);
         }
         if self.members.is_here(name) {
-            return Err(Refused::Present);
+            return Err(StrikeError::Present);
         }
-        if !vouched && !self.seen.standing.allows().strikes {
-            return Err(Refused::TwoMajorities);
+        if !vouched && !self.seen.standing.permissions().strikes {
+            return Err(StrikeError::NoMajority);
         }
         if !vouched && !self.is_agreed() {
-            return Err(Refused::Unsettled);
+            return Err(StrikeError::ChangePending);
         }
         let address = self.roster.get(name).map_or(self.address, |e| e.address);
-        let entry = self.set_place(name, Place::Struck, address);
+        let entry = self.set_status(name, EntryStatus::Struck, address);
         self.tell_all(entry, out);
         Ok(())
     }
@@ -69,8 +69,9 @@
     fn is_agreed(&self) -> bool {
         let sum = self.seen.whole.1;
         let knows = |m: &Member| m.is_in == Some(true) && m.heard.is_some_and(|h| h.roster == sum);
-        let agrees =
-            |e: &&Entry| (e.name == self.id.name && self.is_in) || self.others_named(&e.name).any(knows);
+        let agrees = |e: &&RosterEntry| {
+            (e.name == self.id.name && self.is_in) || self.others_named(&e.name).any(knows)
+        };
         !self.stale && 2 * self.roster.expected().filter(agrees).count() > self.seen.expected
     }
 
@@ -80,8 +81,11 @@
             return;
         }
         let sum = self.seen.whole.1;
-        let may_know =
-            |m: &Member| m.state == State::Alive && m.form() > 1 && m.heard.is_none_or(|h| h.roster != sum);
+        let may_know = |m: &Member| {
+            m.state == MemberState::Alive
+                && m.protocol_version() > 1
+                && m.heard.is_none_or(|h| h.roster != sum)
+        };
         let names: BTreeSet<String> = self.roster.expected().map(|e| e.name.clone()).collect();
         for (_, at) in self.pick(POLLED, |id, m| may_know(m) && names.contains(&id.name)) {
             self.ranges(at, true, out);
@@ -89,9 +93,9 @@
     }
 
     /// Tells everybody of a change, and hears from each that it knows.
-    fn tell_all(&mut self, entry: Entry, out: &mut Out) {
+    fn tell_all(&mut self, entry: RosterEntry, out: &mut Out) {
         (self.roster_changed, self.stale) = (true, true);
-        let told = self.members.iter().filter(|(_, m)| m.is_present() && m.form() > 1);
+        let told = self.members.iter().filter(|(_, m)| m.is_present() && m.protocol_version() > 1);
         let told: Vec<SocketAddr> = told.map(|(_, m)| m.address).collect();
         for at in told {
             self.say(at, &Body::Roster(vec![entry.clone()]), out);
@@ -100,16 +104,17 @@
 
     /// Another's word on the roster; true if it was news of one change, which is to be answered. That one has left is
     /// passed on: it told a few.
-    pub(super) fn merge(&mut self, entries: Vec<Entry>, out: &mut Out) -> bool {
+    pub(super) fn merge(&mut self, entries: Vec<RosterEntry>, out: &mut Out) -> bool {
         let is_one = entries.len() == 1;
-        let news: Vec<Entry> = entries.into_iter().filter(|e| self.roster.merge(e.clone())).collect();
+        let news: Vec<RosterEntry> = entries.into_iter().filter(|e| self.roster.merge(e.clone())).collect();
         news.iter().for_each(|e| self.members.expect(&e.name, self.roster.expects(&e.name)));
         if news.is_empty() {
             return false;
         }
         (self.roster_changed, self.stale) = (true, true);
-        for entry in news.into_iter().filter(|e| is_one && e.place == Place::Left) {
-            for (_, at) in self.pick(SPREAD, |_, m| m.state == State::Alive && m.form() > 1) {
+        for entry in news.into_iter().filter(|e| is_one && e.status == EntryStatus::Left) {
+            for (_, at) in self.pick(SPREAD, |_, m| m.state == MemberState::Alive && m.protocol_version() > 1)
+            {
                 self.say(at, &Body::Roster(vec![entry.clone()]), out);
             }
         }
@@ -117,21 +122,21 @@
     }
 
     /// It leaves: its entry, to be told, unless another process of its name goes on in its place.
-    pub(super) fn leave_roster(&mut self) -> Option<Entry> {
+    pub(super) fn leave_roster(&mut self) -> Option<RosterEntry> {
         let name = self.id.name.clone();
         if self.succeeded || self.others_named(&name).next().is_some() {
             return None;
         }
         if self.roster.expects(&name) {
             self.roster_changed = true;
-            return Some(self.set_place(&name, Place::Left, self.address));
+            return Some(self.set_status(&name, EntryStatus::Left, self.address));
         }
-        self.roster.get(&name).filter(|e| e.place == Place::Left).cloned()
+        self.roster.get(&name).filter(|e| e.status == EntryStatus::Left).cloned()
     }
 
     /// One that nobody expects asks to be taken in, or makes the first roster; one that is in asks for all of it.
     pub(super) fn join(&mut self, out: &mut Out) {
-        if self.config.form == 1 || self.is_in {
+        if self.config.protocol_version == 1 || self.is_in {
             return;
         }
         if self.may_found() {
@@ -139,12 +144,13 @@
         }
         if self.roster.expects(&self.id.name) {
             let complete = |m: &Member| m.heard.is_some_and(|h| h.complete);
-            for (_, at) in self.pick(1, |_, m| m.state == State::Alive && complete(m)) {
+            for (_, at) in self.pick(1, |_, m| m.state == MemberState::Alive && complete(m)) {
                 self.ranges(at, true, out);
             }
             return;
         }
-        let is_in = |m: &Member| m.state == State::Alive && m.form() > 1 && m.is_in != Some(false);
+        let is_in =
+            |m: &Member| m.state == MemberState::Alive && m.protocol_version() > 1 && m.is_in != Some(false);
         let first = self.members.iter().find(|(_, m)| is_in(m)).map(|(id, m)| (id.clone(), m.address));
         let asked = match self.rounds.is_multiple_of(ELSEWHERE) {
             true => self.pick(1, |_, m| is_in(m)),
@@ -164,7 +170,8 @@
         if self.rounds < FOUND || (self.seen.expected > 0 && lacks) {
             return false;
         }
-        let knows_none = |m: &Member| m.form() == 1 || m.heard.is_some_and(|h| !(h.complete && h.expects));
+        let knows_none =
+            |m: &Member| m.protocol_version() == 1 || m.heard.is_some_and(|h| !(h.complete && h.expects));
         let others = || self.members.iter().map(|(_, m)| m).filter(|m| m.is_present());
         let heard = seeds
             .iter()
@@ -178,17 +185,18 @@
 
     /// A roster of all that are heard of: there is no other that they could be in.
     fn found(&mut self) {
-        let others = self.members.iter().filter(|(_, m)| m.state == State::Alive && m.form() > 1);
+        let others =
+            self.members.iter().filter(|(_, m)| m.state == MemberState::Alive && m.protocol_version() > 1);
         let mut all: BTreeMap<String, SocketAddr> =
             others.map(|(id, m)| (id.name.clone(), m.address)).collect();
         all.insert(self.id.name.clone(), self.address);
-        all.iter().for_each(|(name, address)| _ = self.set_place(name, Place::Expected, *address));
+        all.iter().for_each(|(name, address)| _ = self.set_status(name, EntryStatus::Expected, *address));
         (self.complete, self.roster_changed, self.stale) = (true, true, true);
     }
 
     /// Another asks to be taken in.
-    pub(super) fn asked_in(&mut self, id: Id, from: SocketAddr, now: Ms, out: &mut Out) {
-        match self.roster.get(&id.name).filter(|e| e.place == Place::Expected).cloned() {
+    pub(super) fn asked_in(&mut self, id: MemberId, from: SocketAddr, now: Ms, out: &mut Out) {
+        match self.roster.get(&id.name).filter(|e| e.status == EntryStatus::Expected).cloned() {
             Some(entry) => self.say(from, &Body::Roster(vec![entry]), out),
             None => {
                 self.joiners.insert(id, from);
@@ -206,7 +214,7 @@
 
     /// Takes the next one in, if that may be done here and now.
     pub(super) fn admit_next(&mut self, now: Ms, out: &mut Out) {
-        if self.joiners.is_empty() || self.stale || !self.seen.standing.allows().admissions {
+        if self.joiners.is_empty() || self.stale || !self.seen.standing.permissions().admissions {
             return;
         }
         if !self.is_first(now) {
@@ -214,9 +222,9 @@
         }
         while self.is_agreed() {
             let Some((id, _)) = self.joiners.pop_first() else { return };
-            let member = self.members.get(&id).filter(|m| m.state == State::Alive);
+            let member = self.members.get(&id).filter(|m| m.state == MemberState::Alive);
             if let Some(address) = member.map(|m| m.address).filter(|_| !self.roster.expects(&id.name)) {
-                let entry = self.set_place(&id.name, Place::Expected, address);
+                let entry = self.set_status(&id.name, EntryStatus::Expected, address);
                 self.tell_all(entry, out);
             }
         }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -260,7 +260,7 @@
                 states: STATES.iter().map(|&(state, name)| (name, count(state))).collect(),
                 conflicts: members.iter().filter(|m| m.conflicts).count(),
                 disagreeing: members.iter().filter(|m| m.differs_ms.is_some()).count(),
-                impaired: members.iter().filter(|m| m.ill.is_some()).count(),
+                impaired: members.iter().filter(|m| m.impairment.is_some()).count(),
                 counts: fleet.counts(),
                 standing: fleet.standing().map(|(standing, changes)| (standing.name(), changes)),
                 dropped: vec![
--- a/crates/sender/src/duties.rs
+++ b/crates/sender/src/duties.rs
@@ -2,7 +2,7 @@
 //! messages never depend on it.
 use crate::drain::{Drain, Stage};
 use crate::fleet::Fleet;
-use lease::{grants, Ask, Candidate, Change, Config, Duty, Request, Told};
+use lease::{next_permit, Candidate, Change, Config, DrainRequest, Duty, StoreReply, StoreRequest};
 use machine::Machine;
 use remote::store::{Entry, If, Store, Trouble};
 use serde::Deserialize;
@@ -97,7 +97,8 @@
         let ttl = settings.ttl_s * 1_000;
         let prefix = format!("{}duties/drain-permits/holders/", settings.prefix);
         let value = format!("{name} (process {})", std::process::id());
-        let config = Config { prefix, value, ttl, drift: DRIFT, retry: RETRY.min(ttl / 4) };
+        let config =
+            Config { prefix, value, ttl, clock_drift_percent: DRIFT, retry_delay: RETRY.min(ttl / 4) };
         // An answer that takes longer than this leaves no time to act on it.
         let store = Store::new(machine, settings.store.clone(), Duration::from_millis(ttl / 4));
         Duties {
@@ -145,14 +146,14 @@
                 duty.tick(now, &mut out);
                 for change in duty.changes.drain(..) {
                     tracing::info!(?change, "duty of drain permits");
-                    if let Change::Held(token) = change {
+                    if let Change::Acquired(token) = change {
                         tokio::task::spawn_local(self.clone().remember(token));
                     }
                 }
             }
             if self.leaving.get() {
                 for (_, ask) in out {
-                    if let Ask::Revoke { lease } = ask {
+                    if let StoreRequest::Revoke { lease } = ask {
                         let _ = self.store.revoke(lease).await;
                     }
                 }
@@ -165,11 +166,12 @@
                     let _ = answers.send((number, told));
                 });
             }
-            let wake = self.start + Duration::from_millis(self.duty.borrow().wake().min(u64::MAX >> 20));
+            let wake =
+                self.start + Duration::from_millis(self.duty.borrow().next_deadline().min(u64::MAX >> 20));
             tokio::select! {
                 Some((number, told)) = told.recv() => {
                     let mut out = Vec::new();
-                    self.duty.borrow_mut().told(self.now(), number, told, &mut out);
+                    self.duty.borrow_mut().handle_reply(self.now(), number, told, &mut out);
                     for (number, ask) in out {
                         let (duties, answers) = (self.clone(), answers.clone());
                         tokio::task::spawn_local(async move {
@@ -196,26 +198,31 @@
         }
     }
 
-    async fn ask(&self, ask: Ask) -> Told {
+    async fn ask(&self, ask: StoreRequest) -> StoreReply {
         let answer = match ask {
-            Ask::Grant { seconds } => {
-                self.store.grant(seconds).await.map(|(lease, seconds)| Told::Granted { lease, seconds })
+            StoreRequest::Grant { seconds } => {
+                self.store.grant(seconds).await.map(|(lease, seconds)| StoreReply::Granted { lease, seconds })
             }
-            Ask::Enter { lease, key, value } => {
-                self.store.enter(&key, &value, lease).await.map(|created| Told::Entered { created })
-            }
-            Ask::Read { prefix } => self.store.range(&prefix).await.map(|(all, revision)| {
-                let candidate = |e: Entry| Candidate { key: e.key, created: e.created, value: e.value };
-                Told::Candidates { all: all.into_iter().map(candidate).collect(), revision }
+            StoreRequest::Register { lease, key, value } => self
+                .store
+                .enter(&key, &value, lease)
+                .await
+                .map(|created| StoreReply::Registered { create_revision: created }),
+            StoreRequest::List { prefix } => self.store.range(&prefix).await.map(|(all, revision)| {
+                let candidate =
+                    |e: Entry| Candidate { key: e.key, create_revision: e.created, value: e.value };
+                StoreReply::Candidates { candidates: all.into_iter().map(candidate).collect(), revision }
             }),
-            Ask::Watch { key, after } => self.store.watch_gone(&key, after).await.map(|()| Told::Changed),
-            Ask::KeepAlive { lease } => {
-                self.store.keep_alive(lease).await.map(|seconds| Told::Alive { seconds })
+            StoreRequest::Watch { key, after } => {
+                self.store.watch_gone(&key, after).await.map(|()| StoreReply::WatchEnded)
+            }
+            StoreRequest::KeepAlive { lease } => {
+                self.store.keep_alive(lease).await.map(|seconds| StoreReply::Renewed { seconds })
             }
-            Ask::Revoke { lease } => self.store.revoke(lease).await.map(|()| Told::Revoked),
+            StoreRequest::Revoke { lease } => self.store.revoke(lease).await.map(|()| StoreReply::Revoked),
         };
         self.note(answer.as_ref().err());
-        answer.unwrap_or(Told::Failed)
+        answer.unwrap_or(StoreReply::Failed)
     }
 
     fn note(&self, trouble: Option<&Trouble>) {
@@ -236,7 +243,9 @@
         let mut lines: Vec<String> = old.iter().flat_map(|e| e.value.lines()).map(str::to_string).collect();
         lines.push(format!("{token} {}", self.name));
         let kept = lines[lines.len().saturating_sub(HISTORY)..].join("\n");
-        let Some((held, key)) = self.duty.borrow().holds(self.now()).filter(|h| h.0 == token) else { return };
+        let Some((held, key)) = self.duty.borrow().held_token(self.now()).filter(|h| h.0 == token) else {
+            return;
+        };
         let unchanged = If::Modified(&path, old.map_or(0, |e| e.modified));
         let done = self.store.put_if(&[If::Created(&key, held), unchanged], &[(&path, &kept, 0)]).await;
         self.note(done.as_ref().err());
@@ -247,7 +256,7 @@
         let every = Duration::from_millis((self.settings.ttl_s * 1_000 / 20).clamp(50, 500));
         loop {
             sleep(every).await;
-            let held = self.duty.borrow().holds(self.now());
+            let held = self.duty.borrow().held_token(self.now());
             let Some((token, key)) = held else { continue };
             let done = self.permit(token, &key).await;
             self.note(done.as_ref().err());
@@ -255,7 +264,7 @@
                 // Perhaps another has it: who is first is read anew.
                 let read = self.store.range(&key).await;
                 if read.is_ok_and(|(all, _)| !all.iter().any(|e| e.key == key && e.created == token)) {
-                    self.duty.borrow_mut().fenced(self.now(), token);
+                    self.duty.borrow_mut().handle_fenced_write(self.now(), token);
                 }
             }
         }
@@ -274,8 +283,10 @@
         let (before, _) = self.store.range(&round).await?;
         let before = before.iter().find(|e| e.key == round).map_or(0, |e| e.modified);
         let (all, _) = self.store.range(&wanted).await?;
-        let requests: Vec<Request> =
-            all.iter().map(|e| Request { machine: machine(e, &wanted), asked: e.created }).collect();
+        let requests: Vec<DrainRequest> = all
+            .iter()
+            .map(|e| DrainRequest { machine: machine(e, &wanted), request_revision: e.created })
+            .collect();
         let requests = match self.are_few_present() {
             false => requests,
             true => {
@@ -287,20 +298,20 @@
         };
         let (drain, _) = self.store.range(&given).await?;
         let drain: Vec<String> = drain.iter().map(|e| machine(e, &given)).collect();
-        let Some(next) = grants(&requests, &drain, self.settings.drains) else { return Ok(true) };
+        let Some(next) = next_permit(&requests, &drain, self.settings.drains) else { return Ok(true) };
         let asked = format!("{wanted}{}", next.machine);
         // The permit is under the lease of who asked, so that it ends with it.
         let lease = all.iter().find(|e| e.key == asked).and_then(|e| e.value.parse().ok()).unwrap_or(0);
         let to = format!("{given}{}", next.machine);
         // Checked before the act; the store has the last word.
         let may_act = self.fleet.as_ref().is_none_or(|f| *f.may_act().borrow());
-        if self.duty.borrow().holds(self.now()).is_none_or(|h| h.0 != token) || lease == 0 || !may_act {
+        if self.duty.borrow().held_token(self.now()).is_none_or(|h| h.0 != token) || lease == 0 || !may_act {
             return Ok(true);
         }
         let conditions = [
             If::Created(key, token),
             If::Modified(&round, before),
-            If::Created(&asked, next.asked),
+            If::Created(&asked, next.request_revision),
             If::Created(&to, 0),
         ];
         let puts = [(to.as_str(), token.to_string()), (round.as_str(), token.to_string())];
@@ -325,7 +336,7 @@
         };
         let (wanted, _) = self.store.range(&self.path("wanted/")).await?;
         let (given, _) = self.store.range(&self.path("given/")).await?;
-        let own = self.duty.borrow().holds(self.now()).map(|h| h.0);
+        let own = self.duty.borrow().held_token(self.now()).map(|h| h.0);
         Ok(json!({"duties": [{
             "name": "drain-permits",
             "holder": holders.first().map(|e| &e.value),
--- a/crates/sender/src/fleet.rs
+++ b/crates/sender/src/fleet.rs
@@ -4,8 +4,10 @@
 use crate::drain::Drain;
 use crate::inbox::Input;
 use machine::{Datagrams, Machine};
-use membership::{Config, Dropped, Id, Ill, Node, Refused, Roster, Standing, State, Unreadable, View};
-use membership::{LONGEST, MAX_NAME, VERSION};
+use membership::{
+    Config, DropCounts, Impairment, MemberId, MemberState, MemberView, Node, Roster, RosterError,
+};
+use membership::{Standing, StrikeError, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, PROTOCOL_VERSION};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -52,9 +54,9 @@
         if !(100..=60_000).contains(&interval) {
             return Err(format!("membership: interval_ms is not from 100 to 60000: {interval}"));
         }
-        let form = file.form.unwrap_or(VERSION);
-        if !(1..=VERSION).contains(&form) {
-            return Err(format!("membership: form is not from 1 to {VERSION}: {form}"));
+        let form = file.form.unwrap_or(PROTOCOL_VERSION);
+        if !(1..=PROTOCOL_VERSION).contains(&form) {
+            return Err(format!("membership: form is not from 1 to {PROTOCOL_VERSION}: {form}"));
         }
         if file.fleet.is_empty() {
             return Err("membership: fleet has no name".to_string());
@@ -86,16 +88,16 @@
 impl Host {
     /// Why the sender can't do its work though it answers datagrams: its core does not go on, which waits for the
     /// journal's writes too, or nothing can be written down.
-    async fn ill(&self) -> Option<Ill> {
+    async fn ill(&self) -> Option<Impairment> {
         let (reply, rest) = oneshot::channel();
         let asked = async {
             let _ = self.core.send(Input::Rest(reply)).await;
             rest.await.is_ok()
         };
         match timeout(PROGRESS, asked).await {
-            Ok(true) if self.drain.is_stuck() => Some(Ill::Journal),
+            Ok(true) if self.drain.is_stuck() => Some(Impairment::Journal),
             Ok(true) => None,
-            _ => Some(Ill::Core),
+            _ => Some(Impairment::Core),
         }
     }
 }
@@ -140,8 +142,12 @@
 const SAID: usize = 3;
 const BETWEEN: Duration = Duration::from_millis(50);
 
-pub const STATES: [(State, &str); 4] =
-    [(State::Alive, "alive"), (State::Suspect, "suspect"), (State::Left, "left"), (State::Failed, "failed")];
+pub const STATES: [(MemberState, &str); 4] = [
+    (MemberState::Alive, "alive"),
+    (MemberState::Suspect, "suspect"),
+    (MemberState::Left, "left"),
+    (MemberState::Failed, "failed"),
+];
 
 impl Fleet {
     /// `life`: higher than that of any process of this name before.
@@ -154,7 +160,7 @@
         seed: u64,
     ) -> Fleet {
         let mut name = name.to_string();
-        while name.len() > MAX_NAME {
+        while name.len() > MAX_NAME_BYTES {
             name.pop();
         }
         Fleet {
@@ -189,10 +195,10 @@
                 return Roster::default();
             }
         };
-        Roster::read(number(&self.settings.fleet), &text).unwrap_or_else(|reason| {
+        Roster::from_json(number(&self.settings.fleet), &text).unwrap_or_else(|reason| {
             tracing::warn!(%reason, "the kept roster is not taken");
             // The program that wrote it may come back.
-            if matches!(reason, Unreadable::Newer(_)) {
+            if matches!(reason, RosterError::NewerFormat(_)) {
                 let _ = std::fs::rename(&path, self.host.state.join(NEWER));
             }
             Roster::default()
@@ -204,13 +210,13 @@
         let mut node = self.node.borrow_mut();
         let Some(node) = node.as_mut() else { return };
         self.keep(node);
-        let standing = node.standing().now;
+        let standing = node.standing().current;
         if self.told.replace(Some(standing)) != Some(standing) {
             let (present, expected) = node.counts();
             let missing: Vec<&str> = node.missing(self.now()).take(NAMED).map(|e| e.name.as_str()).collect();
             tracing::info!(standing = standing.name(), present, expected, ?missing, "standing");
         }
-        let conflicts = node.is_doubled(self.now());
+        let conflicts = node.has_name_conflict(self.now());
         if self.conflicts.replace(conflicts) != conflicts {
             tracing::warn!(
                 conflicts,
@@ -226,10 +232,10 @@
         while !self.host.core.is_closed() {
             let ill = self.host.ill().await;
             if let Some(node) = self.node.borrow_mut().as_mut() {
-                if node.ill() != ill {
-                    tracing::warn!(reason = ill.map_or("", Ill::name), "impaired");
+                if node.impairment() != ill {
+                    tracing::warn!(reason = ill.map_or("", Impairment::name), "impaired");
                 }
-                node.set_ill(ill);
+                node.set_impairment(ill);
             }
             self.follow_up();
             sleep(LOOK).await;
@@ -247,7 +253,7 @@
     }
 
     /// Takes a name out of the roster; None where there is no socket yet.
-    pub fn strike(&self, name: &str, vouched: bool) -> Option<Result<(), Refused>> {
+    pub fn strike(&self, name: &str, vouched: bool) -> Option<Result<(), StrikeError>> {
         let mut out = Vec::new();
         let done = self.node.borrow_mut().as_mut().map(|node| node.strike(name, vouched, &mut out));
         self.unsent.borrow_mut().extend(out);
@@ -281,15 +287,15 @@
         let mut config = Config::new(number(&self.settings.fleet), self.settings.seeds.clone());
         config.interval = self.settings.interval;
         config.timeout = self.settings.interval * 3 / 10;
-        config.form = self.settings.form;
-        let id = Id { name: self.name.clone(), life: self.life };
+        config.protocol_version = self.settings.form;
+        let id = MemberId { name: self.name.clone(), generation: self.life };
         let node = Node::new(config, id, address, env!("CARGO_PKG_VERSION"), self.seed, self.now());
         self.node.replace(Some(node.with_roster(self.kept())));
         let looking = tokio::task::spawn_local(self.clone().look_after());
         tracing::info!(%address, fleet = self.settings.fleet, "membership");
-        let mut buffer = [0; LONGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let wake = self.node.borrow().as_ref().map_or(0, Node::wake);
+            let wake = self.node.borrow().as_ref().map_or(0, Node::next_deadline);
             let came = tokio::select! {
                 // A receive that fails tells of a datagram that did not arrive; the next may.
                 came = socket.receive(&mut buffer) => came.ok(),
@@ -311,7 +317,7 @@
         for _ in 0..SAID {
             let mut out = Vec::new();
             if let Some(node) = self.node.borrow_mut().as_mut() {
-                node.leave_again(&mut out);
+                node.resend_leave(&mut out);
                 // The next start must know that its name has left, or it would count where others don't count it.
                 self.keep(node);
             }
@@ -323,8 +329,8 @@
 
     /// Keeps the roster, if it has changed.
     fn keep(&self, node: &mut Node) {
-        if node.has_new_roster() {
-            let text = node.roster().text(number(&self.settings.fleet));
+        if node.take_roster_changed() {
+            let text = node.roster().to_json(number(&self.settings.fleet));
             let kept = replace(&self.host.state.join(ROSTER), &text);
             if let (Err(error), false) = (&kept, self.unkept.replace(kept.is_err())) {
                 tracing::warn!(%error, "the roster can't be kept");
@@ -336,36 +342,37 @@
     pub async fn leave(&self, succeeded: bool) {
         if !self.leaving.replace(true) {
             if let Some(node) = self.node.borrow_mut().as_mut().filter(|_| succeeded) {
-                node.set_succeeded();
+                node.set_replaced();
             }
             self.leave.notify_one();
             self.left.notified().await;
         }
     }
 
-    pub fn members(&self) -> Vec<View> {
+    pub fn members(&self) -> Vec<MemberView> {
         self.node.borrow().as_ref().map_or(Vec::new(), |node| node.members(self.now()))
     }
 
-    pub fn dropped(&self) -> Dropped {
-        self.node.borrow().as_ref().map_or(Dropped::default(), |node| node.dropped)
+    pub fn dropped(&self) -> DropCounts {
+        self.node.borrow().as_ref().map_or(DropCounts::default(), |node| node.dropped)
     }
 
     pub fn json(&self) -> Value {
-        let state = |s: State| STATES.iter().find(|(state, _)| *state == s).map_or("", |(_, name)| name);
-        let row = |v: View| {
-            json!({"name": v.id.name, "process": v.id.life, "address": v.address, "version": v.version,
+        let state =
+            |s: MemberState| STATES.iter().find(|(state, _)| *state == s).map_or("", |(_, name)| name);
+        let row = |v: MemberView| {
+            json!({"name": v.id.name, "process": v.id.generation, "address": v.address, "version": v.version,
                 "state": state(v.state), "incarnation": v.incarnation, "for_ms": v.for_ms, "by": v.by,
                 "conflicts": v.conflicts, "expected": v.expected, "standing": v.standing.map(Standing::name),
-                "impaired": v.ill.map(Ill::name), "differs_ms": v.differs_ms})
+                "impaired": v.impairment.map(Impairment::name), "differs_ms": v.differs_ms})
         };
         let members: Vec<Value> = self.members().into_iter().map(row).collect();
         let standing = self.node.borrow().as_ref().map(|node| {
             let (held, (present, expected)) = (node.standing(), node.counts());
             let missing: Vec<&str> = node.missing(self.now()).map(|e| e.name.as_str()).collect();
-            json!({"name": held.now.name(), "for_ms": self.now().saturating_sub(held.since),
+            json!({"name": held.current.name(), "for_ms": self.now().saturating_sub(held.since),
                 "changes": held.changes, "may_act": node.may_act(self.now()), "present": present, "expected": expected, "missing": missing,
-                "roster": node.roster().sum()})
+                "roster": node.roster().digest()})
         });
         json!({"fleet": self.settings.fleet, "name": self.name, "process": self.life, "standing": standing,
             "members": members})
@@ -373,7 +380,7 @@
 
     /// The standing that counts, and how often it has changed; None while there is no socket.
     pub fn standing(&self) -> Option<(Standing, u64)> {
-        self.node.borrow().as_ref().map(|node| (node.standing().now, node.standing().changes))
+        self.node.borrow().as_ref().map(|node| (node.standing().current, node.standing().changes))
     }
 }
 
--- a/crates/sender/src/hollow.rs
+++ b/crates/sender/src/hollow.rs
@@ -12,7 +12,7 @@
 use crate::server::{Server, Terms};
 use crate::{connections, discovery, figures};
 use machine::Machine;
-use membership::{Place, Roster, Standing, View};
+use membership::{EntryStatus, MemberView, Roster, Standing};
 use policy::rules::Asking;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
         self.fleet.as_ref().and_then(|fleet| fleet.standing()).map(|(standing, _)| standing)
     }
 
-    pub fn members(&self) -> Vec<View> {
+    pub fn members(&self) -> Vec<MemberView> {
         self.fleet.as_ref().map_or_else(Vec::new, |fleet| fleet.members())
     }
 }
@@ -94,9 +94,9 @@
 ) -> (&'static str, String) {
     let mut roster = Roster::default();
     for (name, address) in members {
-        roster.set(name, Place::Expected, address);
+        roster.set(name, EntryStatus::Expected, address);
     }
-    (fleet::ROSTER, roster.text(fleet::number(fleet)))
+    (fleet::ROSTER, roster.to_json(fleet::number(fleet)))
 }
 
 /// The reading of new settings with all that hears of them. The server listens nowhere, and the pool dials nobody.
