--- a/crates/lease/src/duty.rs
+++ b/crates/lease/src/duty.rs
@@ -1,51 +1,41 @@
-//! One candidate: campaign, hold, renew, resign, lost.
+//! One candidate for a duty: it campaigns, acquires, renews and resigns the duty, or loses it.
 use crate::Ms;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
+/// Settings of a candidate.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Keys of candidates begin with this.
+    /// Prefix of the candidates' keys in the store.
     pub prefix: String,
-    /// What others are shown of this one.
+    /// The value of this candidate's key, shown to operators and other candidates.
     pub value: String,
-    /// The lease's length; the store counts in seconds.
+    /// Length of the lease. The store counts in whole seconds.
     pub ttl: Ms,
-    /// Clocks may run at rates that differ by this part, in percent; part of a lease that is not used.
+    /// How far the rates of two clocks may differ, in percent. This part of each lease is left unused.
     pub clock_drift_percent: u64,
-    /// After a failure the next try waits so long, and up to twice that.
+    /// Least delay before a retry; a random delay of up to the same length is added.
     pub retry_delay: Ms,
 }
 
-/// What is to be asked of the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    Grant {
-        seconds: u64,
-    },
-    /// Puts the key with the lease unless it is there; the answer has its create revision in either case.
-    Register {
-        lease: i64,
-        key: String,
-        value: String,
-    },
-    /// All candidates.
-    List {
-        prefix: String,
-    },
-    /// Answered once the key is deleted after that revision.
-    Watch {
-        key: String,
-        after: i64,
-    },
-    KeepAlive {
-        lease: i64,
-    },
-    Revoke {
-        lease: i64,
-    },
+    /// Grants a new lease.
+    Grant { seconds: u64 },
+    /// Creates the key under the lease unless it exists. The reply has its create revision in either case.
+    Register { lease: i64, key: String, value: String },
+    /// Reads all candidates.
+    List { prefix: String },
+    /// Completes once the key is deleted at a revision later than `after`.
+    Watch { key: String, after: i64 },
+    /// Renews the lease.
+    KeepAlive { lease: i64 },
+    /// Ends the lease and deletes its keys.
+    Revoke { lease: i64 },
 }
 
+/// A candidate's key as the store has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub key: String,
@@ -53,123 +43,126 @@
     pub value: String,
 }
 
-/// What the store has answered.
+/// The store's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    Granted {
-        lease: i64,
-        seconds: u64,
-    },
-    Registered {
-        create_revision: i64,
-    },
-    Candidates {
-        candidates: Vec<Candidate>,
-        revision: i64,
-    },
-    /// What was watched is gone, or can't be watched from there any more.
+    /// A new lease of this length.
+    Granted { lease: i64, seconds: u64 },
+    /// The candidate's key exists, with this create revision.
+    Registered { create_revision: i64 },
+    /// All candidates as of `revision`.
+    Candidates { candidates: Vec<Candidate>, revision: i64 },
+    /// The watched key was deleted, or the watch can't go on from that revision.
     WatchEnded,
-    /// For so long from now; 0 if it is no more.
-    Renewed {
-        seconds: u64,
-    },
+    /// The lease lives for this long from now; 0 means that it no longer exists.
+    Renewed { seconds: u64 },
+    /// The lease was ended.
     Revoked,
-    /// No answer: whether it was done is not known.
+    /// No reply arrived. Whether the store carried out the request is unknown.
     Failed,
 }
 
+/// How far a candidate is on the way to the duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It does not want the duty.
+    /// Not campaigning for the duty.
     Idle,
-    /// It has no lease, or has not entered with it.
+    /// Has no lease yet, or has not registered its key.
     Registering,
-    /// Another has it.
+    /// Another candidate holds the duty.
     Waiting,
+    /// Holds the duty.
     Holding,
 }
 
-/// For logs and history.
+/// A change of the holder, for logs and the duty's history. Each has the fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
+    /// The candidate holds the duty now.
     Acquired(i64),
+    /// The candidate gave the duty up itself.
     Resigned(i64),
-    /// The lease ran out, the store has ended it, or it could not be renewed in time.
+    /// The lease expired, the store ended it, or it could not be renewed in time.
     Lost(i64),
 }
 
+/// The candidate's lease.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: i64,
-    /// On this clock; the store can't have ended it before.
-    until: Ms,
+    /// The store can't end the lease before this time on the local clock.
+    valid_until: Ms,
     renew_at: Ms,
-    /// The key's create revision: the fencing token.
+    /// The key's create revision, which is the fencing token.
     token: Option<i64>,
 }
 
+/// What the candidate waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Nothing is asked; the next is due at this time.
-    Rest(Ms),
-    Asked {
-        number: u64,
-        at: Ms,
-    },
-    Watching {
-        number: u64,
-    },
+    /// No request is outstanding; the next one is due at this time.
+    Scheduled(Ms),
+    /// A request is outstanding.
+    AwaitingReply { number: u64, sent_at: Ms },
+    /// The predecessor's key is being watched.
+    Watching { number: u64 },
+    /// The duty is held; nothing but renewals is sent.
     Holding,
 }
 
+/// State machine of one candidate for a duty.
 pub struct Duty {
     config: Config,
-    wanted: bool,
+    campaigning: bool,
     lease: Option<Lease>,
     step: Step,
-    renewing: Option<(u64, Ms)>,
-    number: u64,
+    pending_renewal: Option<(u64, Ms)>,
+    last_number: u64,
     random: Pcg32,
+    /// Changes of the holder that the caller has not drained yet.
     pub changes: Vec<Change>,
 }
 
-type Out = Vec<(u64, StoreRequest)>;
+/// Requests to send to the store, each with the number that its reply must carry.
+type Requests = Vec<(u64, StoreRequest)>;
 
 impl Duty {
+    /// A candidate that does not campaign yet. `seed` drives the retry jitter.
     pub fn new(config: Config, seed: u64) -> Duty {
         Duty {
             config,
-            wanted: false,
+            campaigning: false,
             lease: None,
-            step: Step::Rest(0),
-            renewing: None,
-            number: 0,
+            step: Step::Scheduled(0),
+            pending_renewal: None,
+            last_number: 0,
             random: Pcg32::seed_from_u64(seed),
             changes: Vec::new(),
         }
     }
 
-    /// From now on it wants the duty.
+    /// Starts to campaign for the duty.
     pub fn campaign(&mut self, now: Ms) {
-        if !std::mem::replace(&mut self.wanted, true) {
-            self.step = Step::Rest(now);
+        if !std::mem::replace(&mut self.campaigning, true) {
+            self.step = Step::Scheduled(now);
         }
     }
 
-    /// It wants it no more; what it has is given back at once.
-    pub fn resign(&mut self, out: &mut Out) {
-        self.wanted = false;
+    /// Stops campaigning and revokes the lease at once.
+    pub fn resign(&mut self, requests: &mut Requests) {
+        self.campaigning = false;
         if let Some(lease) = self.lease.take() {
             if let (Step::Holding, Some(token)) = (self.step, lease.token) {
                 self.changes.push(Change::Resigned(token));
             }
-            self.ask(StoreRequest::Revoke { lease: lease.id }, out);
+            self.send(StoreRequest::Revoke { lease: lease.id }, requests);
         }
-        (self.step, self.renewing) = (Step::Rest(0), None);
+        (self.step, self.pending_renewal) = (Step::Scheduled(0), None);
     }
 
+    /// The candidate's stage.
     pub fn stage(&self) -> Stage {
-        match (self.wanted, self.step) {
+        match (self.campaigning, self.step) {
             (false, _) => Stage::Idle,
             (_, Step::Holding) => Stage::Holding,
             (_, Step::Watching { .. }) => Stage::Waiting,
@@ -177,181 +170,200 @@
         }
     }
 
-    /// The fencing token and its key, if the duty is held at this moment: to be asked before each act. Every write made
-    /// under the duty is on condition that the key still has this create revision.
+    /// The fencing token and the candidate's key, if the duty is held at this moment. Callers check this
+    /// before each act, and make every write conditional on the key still having this create revision.
     pub fn held_token(&self, now: Ms) -> Option<(i64, String)> {
-        let lease = self.lease.filter(|lease| self.step == Step::Holding && now < lease.until)?;
+        let lease = self.lease.filter(|lease| self.step == Step::Holding && now < lease.valid_until)?;
         Some((lease.token?, self.key(lease.id)))
     }
 
-    /// How much longer the lease can be counted on.
+    /// How long the lease remains valid.
     pub fn remaining(&self, now: Ms) -> Ms {
-        self.lease.map_or(0, |lease| lease.until.saturating_sub(now))
+        self.lease.map_or(0, |lease| lease.valid_until.saturating_sub(now))
     }
 
+    /// The candidate's key under a lease.
     pub fn key(&self, lease: i64) -> String {
         format!("{}{lease:016x}", self.config.prefix)
     }
 
-    /// A write was turned down for the token: the store has the last word.
+    /// A write was rejected because of its token. The store decides, so the lease counts as lost.
     pub fn handle_fenced_write(&mut self, now: Ms, token: i64) {
         if self.lease.is_some_and(|l| l.token == Some(token)) {
-            self.lose(now);
+            self.lose_lease(now);
         }
     }
 
+    /// When `tick` must be called at the latest.
     pub fn next_deadline(&self) -> Ms {
         let step = match self.step {
-            Step::Rest(at) if self.wanted => at,
-            Step::Asked { at, .. } => at + self.config.ttl,
+            Step::Scheduled(due) if self.campaigning => due,
+            Step::AwaitingReply { sent_at, .. } => sent_at + self.config.ttl,
             _ => Ms::MAX,
         };
-        let renew = match (self.lease, self.renewing) {
-            (Some(lease), None) => lease.renew_at.min(lease.until),
-            (Some(lease), Some(_)) => lease.until,
+        let renew = match (self.lease, self.pending_renewal) {
+            (Some(lease), None) => lease.renew_at.min(lease.valid_until),
+            (Some(lease), Some(_)) => lease.valid_until,
             (None, _) => Ms::MAX,
         };
         step.min(renew)
     }
 
-    fn ask(&mut self, ask: StoreRequest, out: &mut Out) -> u64 {
-        self.number += 1;
-        out.push((self.number, ask));
-        self.number
+    fn send(&mut self, request: StoreRequest, requests: &mut Requests) -> u64 {
+        self.last_number += 1;
+        requests.push((self.last_number, request));
+        self.last_number
     }
 
-    fn ask_next(&mut self, now: Ms, ask: StoreRequest, out: &mut Out) {
-        let number = self.ask(ask, out);
-        self.step = Step::Asked { number, at: now };
+    fn send_step(&mut self, now: Ms, request: StoreRequest, requests: &mut Requests) {
+        let number = self.send(request, requests);
+        self.step = Step::AwaitingReply { number, sent_at: now };
     }
 
-    /// Candidates that failed together don't come back together.
-    fn rest(&mut self, now: Ms) {
-        let more = self.random.random_range(0..self.config.retry_delay.max(1));
-        self.step = Step::Rest(now + self.config.retry_delay + more);
+    /// Adds random jitter, so that candidates that failed together don't retry together.
+    fn schedule_retry(&mut self, now: Ms) {
+        let jitter = self.random.random_range(0..self.config.retry_delay.max(1));
+        self.step = Step::Scheduled(now + self.config.retry_delay + jitter);
     }
 
-    /// Until when a lease of so long lasts on this clock at the least, if it was asked for at that time.
-    fn until(&self, asked: Ms, seconds: u64) -> Ms {
+    /// The earliest time on the local clock at which a lease of `seconds` that was requested at `sent_at` can
+    /// end.
+    fn lease_end(&self, sent_at: Ms, seconds: u64) -> Ms {
         let length = seconds * 1_000;
-        asked + length - length * self.config.clock_drift_percent.min(90) / 100
+        sent_at + length - length * self.config.clock_drift_percent.min(90) / 100
     }
 
-    fn lose(&mut self, now: Ms) {
+    fn lose_lease(&mut self, now: Ms) {
         let lease = self.lease.take();
         if let (Step::Holding, Some(token)) = (self.step, lease.and_then(|l| l.token)) {
             self.changes.push(Change::Lost(token));
         }
-        self.renewing = None;
-        self.rest(now);
+        self.pending_renewal = None;
+        self.schedule_retry(now);
     }
 
-    pub fn tick(&mut self, now: Ms, out: &mut Out) {
-        if !self.wanted {
+    /// Does what is due: ends an expired lease, renews, retries.
+    pub fn tick(&mut self, now: Ms, requests: &mut Requests) {
+        if !self.campaigning {
             return;
         }
         if let Some(lease) = self.lease {
-            if now >= lease.until {
-                self.lose(now);
-                // The store may still have it for a while; others need not wait for that.
-                self.ask(StoreRequest::Revoke { lease: lease.id }, out);
+            if now >= lease.valid_until {
+                self.lose_lease(now);
+                // The store may keep the lease for a while; revoking it spares the other candidates that
+                // wait.
+                self.send(StoreRequest::Revoke { lease: lease.id }, requests);
                 return;
             }
-            if now >= lease.renew_at && self.renewing.is_none() {
-                let number = self.ask(StoreRequest::KeepAlive { lease: lease.id }, out);
-                self.renewing = Some((number, now));
+            if now >= lease.renew_at && self.pending_renewal.is_none() {
+                let number = self.send(StoreRequest::KeepAlive { lease: lease.id }, requests);
+                self.pending_renewal = Some((number, now));
             }
         }
         match self.step {
-            Step::Rest(at) if now >= at => self.go_on(now, out),
-            // An answer that never came.
-            Step::Asked { at, .. } if now >= at + self.config.ttl => self.rest(now),
+            Step::Scheduled(due) if now >= due => self.send_next_request(now, requests),
+            // The reply was lost.
+            Step::AwaitingReply { sent_at, .. } if now >= sent_at + self.config.ttl => {
+                self.schedule_retry(now)
+            }
             _ => {}
         }
     }
 
-    /// The next step from what is known.
-    fn go_on(&mut self, now: Ms, out: &mut Out) {
-        let ask = match self.lease {
+    /// Sends the request that follows from the current state.
+    fn send_next_request(&mut self, now: Ms, requests: &mut Requests) {
+        let request = match self.lease {
             None => StoreRequest::Grant { seconds: self.config.ttl / 1_000 },
             Some(Lease { id, token: None, .. }) => {
                 StoreRequest::Register { lease: id, key: self.key(id), value: self.config.value.clone() }
             }
             Some(_) => StoreRequest::List { prefix: self.config.prefix.clone() },
         };
-        self.ask_next(now, ask, out);
+        self.send_step(now, request, requests);
     }
 
-    /// The store's answer to a question.
-    pub fn handle_reply(&mut self, now: Ms, number: u64, told: StoreReply, out: &mut Out) {
-        if let Some((_, asked)) = self.renewing.filter(|(n, _)| *n == number) {
-            self.renewing = None;
-            return self.renewed(now, asked, told);
+    /// Handles the store's reply to the request `number`.
+    pub fn handle_reply(&mut self, now: Ms, number: u64, reply: StoreReply, requests: &mut Requests) {
+        if let Some((_, sent_at)) = self.pending_renewal.filter(|(n, _)| *n == number) {
+            self.pending_renewal = None;
+            return self.handle_renewal(now, sent_at, reply);
         }
-        let asked = match self.step {
-            Step::Asked { number: n, at } if n == number => at,
+        let sent_at = match self.step {
+            Step::AwaitingReply { number: n, sent_at } if n == number => sent_at,
             Step::Watching { number: n } if n == number => {
-                // Whatever has come of it: who is before this one is asked anew, at once if that one has gone.
-                match told {
-                    StoreReply::WatchEnded => self.go_on(now, out),
-                    _ => self.rest(now),
+                // Whatever ended the watch, the candidates are read again; at once if the predecessor has
+                // gone.
+                match reply {
+                    StoreReply::WatchEnded => self.send_next_request(now, requests),
+                    _ => self.schedule_retry(now),
                 }
                 return;
             }
-            _ => return self.late(told, out),
+            _ => return self.handle_late_reply(reply, requests),
         };
-        match (told, self.lease) {
-            (StoreReply::Granted { lease, seconds }, None) if self.wanted => {
-                let until = self.until(asked, seconds);
-                let renew_at = asked + seconds * 1_000 / 3;
-                self.lease = Some(Lease { id: lease, until, renew_at, token: None });
-                self.go_on(now, out);
+        match (reply, self.lease) {
+            (StoreReply::Granted { lease, seconds }, None) if self.campaigning => {
+                let valid_until = self.lease_end(sent_at, seconds);
+                let renew_at = sent_at + seconds * 1_000 / 3;
+                self.lease = Some(Lease { id: lease, valid_until, renew_at, token: None });
+                self.send_next_request(now, requests);
             }
             (StoreReply::Registered { create_revision }, Some(mut lease)) => {
                 lease.token = Some(create_revision);
                 self.lease = Some(lease);
-                self.go_on(now, out);
+                self.send_next_request(now, requests);
             }
             (StoreReply::Candidates { candidates, revision }, Some(lease)) => {
-                self.placed(now, &lease, candidates, revision, out)
+                self.handle_candidates(now, &lease, candidates, revision, requests)
             }
-            // Not known, or out of place: what is so is read again.
-            _ => self.rest(now),
+            // The outcome is unknown or unexpected, so the state is read again.
+            _ => self.schedule_retry(now),
         }
     }
 
-    /// An answer that nobody waits for any more; a lease that came too late would stand for nothing.
-    fn late(&mut self, told: StoreReply, out: &mut Out) {
-        if let StoreReply::Granted { lease, .. } = told {
-            self.ask(StoreRequest::Revoke { lease }, out);
+    /// Handles a reply that is no longer awaited. A lease that was granted too late is revoked.
+    fn handle_late_reply(&mut self, reply: StoreReply, requests: &mut Requests) {
+        if let StoreReply::Granted { lease, .. } = reply {
+            self.send(StoreRequest::Revoke { lease }, requests);
         }
     }
 
-    fn renewed(&mut self, now: Ms, asked: Ms, told: StoreReply) {
+    fn handle_renewal(&mut self, now: Ms, sent_at: Ms, reply: StoreReply) {
         let Some(mut lease) = self.lease else { return };
-        match told {
-            StoreReply::Renewed { seconds: 0 } => return self.lose(now),
+        match reply {
+            StoreReply::Renewed { seconds: 0 } => return self.lose_lease(now),
             StoreReply::Renewed { seconds } => {
-                lease.until = self.until(asked, seconds);
-                lease.renew_at = asked + seconds * 1_000 / 3;
+                lease.valid_until = self.lease_end(sent_at, seconds);
+                lease.renew_at = sent_at + seconds * 1_000 / 3;
             }
-            // It is tried again soon, as long as there is time.
+            // Retried soon, as long as the lease is valid.
             _ => lease.renew_at = now + self.config.retry_delay,
         }
         self.lease = Some(lease);
     }
 
-    /// Who is before this one: nobody, or the one whose end is waited for, and no other.
-    fn placed(&mut self, now: Ms, lease: &Lease, all: Vec<Candidate>, revision: i64, out: &mut Out) {
+    /// Holds the duty if no candidate registered earlier. Otherwise watches the key of the direct predecessor
+    /// alone.
+    fn handle_candidates(
+        &mut self,
+        now: Ms,
+        lease: &Lease,
+        candidates: Vec<Candidate>,
+        revision: i64,
+        requests: &mut Requests,
+    ) {
         let key = self.key(lease.id);
-        let Some(own) = all.iter().find(|c| c.key == key) else {
-            return self.lose(now);
+        let Some(own) = candidates.iter().find(|c| c.key == key) else {
+            return self.lose_lease(now);
         };
-        let before =
-            all.iter().filter(|c| c.create_revision < own.create_revision).max_by_key(|c| c.create_revision);
-        match before {
-            Some(before) => {
-                let number = self.ask(StoreRequest::Watch { key: before.key.clone(), after: revision }, out);
+        let predecessor = candidates
+            .iter()
+            .filter(|c| c.create_revision < own.create_revision)
+            .max_by_key(|c| c.create_revision);
+        match predecessor {
+            Some(predecessor) => {
+                let number = self
+                    .send(StoreRequest::Watch { key: predecessor.key.clone(), after: revision }, requests);
                 self.step = Step::Watching { number };
             }
             None => {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,12 +1,13 @@
-//! A duty that one process holds at a time, by a lease in an outside store that keeps keys with revisions.
+//! A duty that one process holds at a time, by means of a lease in an external store whose keys have
+//! revisions.
 //!
-//! No I/O, clock or global state: what is to be asked of the store comes out, its answers and the time go in. What is
-//! promised, and on what assumptions, is in `docs/duties.md`.
+//! No I/O, clocks or global state: requests to the store are returned, its replies and the current time are
+//! passed in. The guarantees and their assumptions are described in `docs/duties.md`.
 mod duty;
 mod permits;
 
 pub use duty::{Candidate, Change, Config, Duty, Stage, StoreReply, StoreRequest};
 pub use permits::{next_permit, DrainRequest};
 
-/// Milliseconds on a clock that only rises.
+/// Milliseconds on a monotonic clock.
 pub type Ms = u64;
